--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -47,7 +47,7 @@
 #include "leader_place.h"     /* pure: when leadership moves nearer to its quorum */
 #include "size_share.h"       /* pure: how often jobs of each size start */
 #include "waiting_order.h"    /* pure: which waiting task goes first */
-#include "harm_model.h"       /* pure: how fill-in images slow serving ones */
+#include "slack_model.h"      /* pure: how fill-in images lower the slack of serving ones */
 #include "leader_relay.h"     /* requests to the leader */
 #include "pacing.h"           /* pure: share of fill-in work on a worker */
 #include "seeded_group.h"     /* a group that bootstraps from seeds */
--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -224,7 +224,7 @@
   cell_map_init (&d->workers);
   TAILQ_INIT (&d->worker_list);
   SLIST_INIT (&d->sizes);
-  d->harm = harm_model_new ();
+  d->harm = slack_model_new ();
   d->fill_slowness = 1;
   config->workflow->observer = (struct workflow_observer){ .placed = on_placed,
                                                            .ended = on_ended,
@@ -251,7 +251,7 @@
   dispatcher_resign (d);
   memset (&d->config.workflow->observer, 0, sizeof d->config.workflow->observer);
   cell_map_close (&d->workers);
-  harm_model_free (d->harm);
+  slack_model_free (d->harm);
   free (d);
 }
 
--- a/src/workflow/dispatcher_harm.c
+++ b/src/workflow/dispatcher_interference.c
@@ -18,13 +18,13 @@
 dispatch_image (struct dispatcher *d, const workflow_step *s)
 {
   if (s->flags & WORKFLOW_STEP_FILL)
-    return harm_model_filling (d->harm, s->image);
+    return slack_model_fill_id (d->harm, s->image);
   bool serves = (s->flags & WORKFLOW_STEP_LASTING) && s->target_ms > 0;
-  return serves ? harm_model_serving (d->harm, s->image) : -1;
+  return serves ? slack_model_serving_id (d->harm, s->image) : -1;
 }
 
 static void
-add_share (struct harm_share *mix, size_t *count, int filling, double share)
+add_share (struct fill_share *mix, size_t *count, int filling, double share)
 {
   for (size_t i = 0; i < *count; i++)
     if (mix[i].filling == filling)
@@ -33,12 +33,12 @@
         return;
       }
   if (*count < MAX_MIX)
-    mix[(*count)++] = (struct harm_share){ .filling = filling, .share = share };
+    mix[(*count)++] = (struct fill_share){ .filling = filling, .share = share };
 }
 
 /* What fills on W at its present pace.  */
 static size_t
-paced_mix (const struct dispatch_worker *w, struct harm_share *mix)
+paced_mix (const struct dispatch_worker *w, struct fill_share *mix)
 {
   const struct dispatch_run *r;
   size_t count = 0;
@@ -54,20 +54,20 @@
 
 /* What fills on W, or was placed there, at full pace; with room for one more.  */
 static size_t
-present_mix (const struct dispatch_worker *w, struct harm_share *mix)
+present_mix (const struct dispatch_worker *w, struct fill_share *mix)
 {
   size_t count = 0;
-  for (int i = 0; i < HARM_IMAGES && count < MAX_MIX && w->millicores > 0; i++)
+  for (int i = 0; i < SLACK_MAX_IMAGES && count < MAX_MIX && w->millicores > 0; i++)
     if (w->filling_of[i] > 0)
       mix[count++]
-          = (struct harm_share){ .filling = i, .share = (double)w->filling_of[i] / w->millicores };
+          = (struct fill_share){ .filling = i, .share = (double)w->filling_of[i] / w->millicores };
   return count;
 }
 
 void
 dispatch_note_mix (struct dispatcher *d, struct dispatch_worker *w)
 {
-  struct harm_share now[MAX_MIX];
+  struct fill_share now[MAX_MIX];
   size_t count = paced_mix (w, now);
   double keep = exp (-(double)(d->now_ms - w->mix_ms) / MIX_LAG_MS);
   size_t kept = 0;
@@ -88,40 +88,40 @@
 {
   if (fills (r) || r->image < 0 || r->measure == 0)
     return;
-  harm_model_learn (d->harm, r->image, w->mix, w->mix_count,
-                    (double)workflow_step_of (r->task)->target_ms / r->measure);
+  slack_model_add_sample (d->harm, r->image, w->mix, w->mix_count,
+                          (double)workflow_step_of (r->task)->target_ms / r->measure);
 }
 
 double
 dispatch_harm_after (struct dispatcher *d, const struct dispatch_worker *w, int filling,
                      uint32_t millicores)
 {
-  struct harm_share mix[MAX_MIX + 1];
+  struct fill_share mix[MAX_MIX + 1];
   double worst = 0;
   size_t count = present_mix (w, mix);
   if (w->millicores == 0)
     return 0;
   mix[count++]
-      = (struct harm_share){ .filling = filling, .share = (double)millicores / w->millicores };
-  for (int i = 0; i < HARM_IMAGES; i++)
+      = (struct fill_share){ .filling = filling, .share = (double)millicores / w->millicores };
+  for (int i = 0; i < SLACK_MAX_IMAGES; i++)
     if (w->serving_of[i] > 0)
       worst = fmax (worst,
-                    harm_model_loss (d->harm, i, mix, count) / harm_model_allowed (d->harm, i));
+                    slack_model_loss (d->harm, i, mix, count) / slack_model_max_loss (d->harm, i));
   return worst;
 }
 
 bool
 dispatch_is_harmful (struct dispatcher *d, const struct dispatch_worker *w, int filling)
 {
-  for (int i = 0; i < HARM_IMAGES; i++)
+  for (int i = 0; i < SLACK_MAX_IMAGES; i++)
     {
       double most = 0;
       if (w->serving_of[i] == 0)
         continue;
-      for (int k = 0; k < HARM_IMAGES; k++)
+      for (int k = 0; k < SLACK_MAX_IMAGES; k++)
         if (w->filling_of[k] > 0)
-          most = fmax (most, harm_model_coefficient (d->harm, i, k));
-      if (harm_model_coefficient (d->harm, i, filling) >= HARMFUL_PART * most)
+          most = fmax (most, slack_model_coefficient (d->harm, i, k));
+      if (slack_model_coefficient (d->harm, i, filling) >= HARMFUL_PART * most)
         return true;
     }
   return false;
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -7,7 +7,7 @@
 
 #include "buffer.h"
 #include "dispatcher.h"
-#include "harm_model.h"
+#include "slack_model.h"
 #include "log.h"
 #include "pacing.h"
 #include "size_share.h"
@@ -139,9 +139,9 @@
   int64_t no_room_until_ms;
   int64_t avoid_until_ms;
   struct pacing pacing;
-  uint32_t filling_of[HARM_IMAGES]; /* millicores by fill-in image */
-  uint16_t serving_of[HARM_IMAGES]; /* tasks by serving image */
-  struct harm_share mix[MAX_MIX];   /* what filled lately, smoothed */
+  uint32_t filling_of[SLACK_MAX_IMAGES]; /* millicores by fill-in image */
+  uint16_t serving_of[SLACK_MAX_IMAGES]; /* tasks by serving image */
+  struct fill_share mix[MAX_MIX];        /* what filled lately, smoothed */
   size_t mix_count;
   int64_t mix_ms; /* time of the last change of MIX */
 };
@@ -173,7 +173,7 @@
   struct dispatch_workers worker_list;
   uint64_t prune_token; /* of the open PRUNE; 0 is none */
   int64_t load_next_ms;
-  struct harm_model *harm;
+  struct slack_model *harm;
   SLIST_HEAD (, queue_sizes) sizes; /* of each queue that had a job under this leader */
   double fill_slowness;             /* run time of tasks that fill over their estimate, smoothed */
   uint64_t waiting_fill;            /* millicores of waiting tasks that fill */
@@ -207,7 +207,7 @@
 void dispatch_tick_worker (struct dispatcher *d, struct dispatch_worker *w);
 bool dispatch_usable (const struct dispatcher *d, const struct dispatch_worker *w);
 
-/* dispatcher_harm.c */
+/* dispatcher_interference.c */
 void dispatch_note_mix (struct dispatcher *d,
                         struct dispatch_worker *w); /* Before samples are learned. */
 void dispatch_learn_tail (struct dispatcher *d, struct dispatch_worker *w,
--- a/src/workflow/harm_model.c
+++ b/src/workflow/slack_model.c
@@ -1,4 +1,4 @@
-#include "harm_model.h"
+#include "slack_model.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -8,8 +8,8 @@
 #include "buffer.h"
 
 #define NAME_BYTES 257
-#define TERMS (HARM_IMAGES + 1) /* the last is the slack alone */
-#define ALONE HARM_IMAGES
+#define TERMS (SLACK_MAX_IMAGES + 1) /* the last is the slack alone */
+#define ALONE SLACK_MAX_IMAGES
 #define RIDGE 0.03      /* weight of the prior: three samples at a share of a tenth */
 #define ALONE_RIDGE 1.0 /* one sample */
 #define ALONE_PRIOR 2.0 /* half of the target */
@@ -32,15 +32,15 @@
 
 struct names
 {
-  char name[HARM_IMAGES][NAME_BYTES];
+  char name[SLACK_MAX_IMAGES][NAME_BYTES];
   int count;
 };
 
-struct harm_model
+struct slack_model
 {
   struct names serving;
   struct names filling;
-  struct fit *fits[HARM_IMAGES];
+  struct fit *fits[SLACK_MAX_IMAGES];
 };
 
 static int
@@ -49,8 +49,8 @@
   for (int i = 0; i < n->count; i++)
     if (strcmp (n->name[i], name) == 0)
       return i;
-  if (n->count == HARM_IMAGES)
-    return HARM_IMAGES - 1;
+  if (n->count == SLACK_MAX_IMAGES)
+    return SLACK_MAX_IMAGES - 1;
   snprintf (n->name[n->count], NAME_BYTES, "%s", name);
   return n->count++;
 }
@@ -59,29 +59,29 @@
 new_fit (void)
 {
   struct fit *f = xcalloc (1, sizeof *f);
-  for (int i = 0; i < HARM_IMAGES; i++)
-    f->coefficient[i] = HARM_PRIOR;
+  for (int i = 0; i < SLACK_MAX_IMAGES; i++)
+    f->coefficient[i] = SLACK_LOSS_PRIOR;
   f->coefficient[ALONE] = ALONE_PRIOR;
   f->low = ALONE_PRIOR;
   return f;
 }
 
-struct harm_model *
-harm_model_new (void)
+struct slack_model *
+slack_model_new (void)
 {
-  return xcalloc (1, sizeof (struct harm_model));
+  return xcalloc (1, sizeof (struct slack_model));
 }
 
 void
-harm_model_free (struct harm_model *m)
+slack_model_free (struct slack_model *m)
 {
-  for (int i = 0; i < HARM_IMAGES; i++)
+  for (int i = 0; i < SLACK_MAX_IMAGES; i++)
     free (m->fits[i]);
   free (m);
 }
 
 int
-harm_model_serving (struct harm_model *m, const char *image)
+slack_model_serving_id (struct slack_model *m, const char *image)
 {
   int id = names_id (&m->serving, image);
   if (!m->fits[id])
@@ -90,7 +90,7 @@
 }
 
 int
-harm_model_filling (struct harm_model *m, const char *image)
+slack_model_fill_id (struct slack_model *m, const char *image)
 {
   return names_id (&m->filling, image);
 }
@@ -107,7 +107,7 @@
       for (int k = 0; k < n; k++)
         m[i][k] = f->a[terms[i]][terms[k]] + (i == k ? ridge : 0);
       /* The loss counts against the slack: its prior is negative here.  */
-      m[i][n] = f->b[terms[i]] + ridge * (alone ? ALONE_PRIOR : -HARM_PRIOR);
+      m[i][n] = f->b[terms[i]] + ridge * (alone ? ALONE_PRIOR : -SLACK_LOSS_PRIOR);
     }
   for (int i = 0; i < n; i++)
     {
@@ -160,8 +160,8 @@
 }
 
 void
-harm_model_learn (struct harm_model *m, int serving, const struct harm_share *mix, size_t count,
-                  double slack)
+slack_model_add_sample (struct slack_model *m, int serving, const struct fill_share *mix,
+                        size_t count, double slack)
 {
   struct fit *f = m->fits[serving];
   double x[TERMS] = { 0 };
@@ -169,7 +169,7 @@
   for (size_t i = 0; i < count; i++)
     x[mix[i].filling] += mix[i].share;
   x[ALONE] = 1;
-  double alone = seen + harm_model_loss (m, serving, mix, count);
+  double alone = seen + slack_model_loss (m, serving, mix, count);
   f->low += alone < f->low ? -LOW_STEP * (1 - LOW_QUANTILE) : LOW_STEP * LOW_QUANTILE;
   for (int i = 0; i < TERMS; i++)
     {
@@ -186,14 +186,14 @@
 }
 
 double
-harm_model_coefficient (const struct harm_model *m, int serving, int filling)
+slack_model_coefficient (const struct slack_model *m, int serving, int filling)
 {
   return m->fits[serving]->coefficient[filling];
 }
 
 double
-harm_model_loss (const struct harm_model *m, int serving, const struct harm_share *mix,
-                 size_t count)
+slack_model_loss (const struct slack_model *m, int serving, const struct fill_share *mix,
+                  size_t count)
 {
   double loss = 0;
   for (size_t i = 0; i < count; i++)
@@ -202,7 +202,7 @@
 }
 
 double
-harm_model_allowed (const struct harm_model *m, int serving)
+slack_model_max_loss (const struct slack_model *m, int serving)
 {
-  return fmax (m->fits[serving]->low - HARM_SLACK, LEAST_ALLOWED);
+  return fmax (m->fits[serving]->low - SLACK_MIN, LEAST_ALLOWED);
 }
--- a/tests/test_harm_model.c
+++ b/tests/test_slack_model.c
@@ -10,7 +10,7 @@
 #include <math.h>
 #include <stdio.h>
 
-#include "harm_model.h"
+#include "slack_model.h"
 #include "rng.h"
 #include "spread.h"
 
@@ -26,7 +26,7 @@
 struct replay
 {
   struct rng rng;
-  struct harm_model *model;
+  struct slack_model *model;
   bool harmful[SERVING][FILLING];
   double phase[WORKERS];
   int fill_of[WORKERS][4];
@@ -68,36 +68,36 @@
   double over = 0;
   for (int w = 0; w < WORKERS; w++)
     {
-      struct harm_share mix[4];
+      struct fill_share mix[4];
       char name[32];
       snprintf (name, sizeof name, "serving-%d", w % SERVING);
-      int serving = harm_model_serving (r->model, name);
+      int serving = slack_model_serving_id (r->model, name);
       for (int i = 0; i < r->fills[w]; i++)
         {
           snprintf (name, sizeof name, "fill-%d", r->fill_of[w][i]);
-          mix[i] = (struct harm_share){ harm_model_filling (r->model, name), r->share_of[w][i] };
+          mix[i] = (struct fill_share){ slack_model_fill_id (r->model, name), r->share_of[w][i] };
           *done += r->share_of[w][i];
         }
       double tail = floor (tail_ms (r, w, at_s) + 0.5);
       over += tail > TARGET_MS;
-      harm_model_learn (r->model, serving, mix, (size_t)r->fills[w], TARGET_MS / tail);
+      slack_model_add_sample (r->model, serving, mix, (size_t)r->fills[w], TARGET_MS / tail);
       r->fills[w] = 0;
       for (int tries = 0; tries < 6 && r->fills[w] < 3; tries++)
         {
           int image = make_image (r, name, "fill");
           size_t n = (size_t)r->fills[w];
-          struct harm_share next[4];
+          struct fill_share next[4];
           for (size_t i = 0; i < n; i++)
             {
               char other[32];
               snprintf (other, sizeof other, "fill-%d", r->fill_of[w][i]);
               next[i]
-                  = (struct harm_share){ harm_model_filling (r->model, other), r->share_of[w][i] };
+                  = (struct fill_share){ slack_model_fill_id (r->model, other), r->share_of[w][i] };
             }
-          next[n] = (struct harm_share){ harm_model_filling (r->model, name), 0.12 };
+          next[n] = (struct fill_share){ slack_model_fill_id (r->model, name), 0.12 };
           if (use_model
-              && harm_model_loss (r->model, serving, next, n + 1)
-                     > harm_model_allowed (r->model, serving))
+              && slack_model_loss (r->model, serving, next, n + 1)
+                     > slack_model_max_loss (r->model, serving))
             continue;
           r->fill_of[w][n] = image;
           r->share_of[w][n] = 0.12;
@@ -110,7 +110,7 @@
 static void
 run (struct replay *r, uint64_t seed, bool use_model, double *over, double *done)
 {
-  *r = (struct replay){ .model = harm_model_new () };
+  *r = (struct replay){ .model = slack_model_new () };
   rng_init (&r->rng, seed);
   for (int s = 0; s < SERVING; s++)
     for (int f = 0; f < FILLING; f++)
@@ -142,9 +142,9 @@
       double blind_over;
       double blind_done;
       run (&r, seed, false, &blind_over, &blind_done);
-      harm_model_free (r.model);
+      slack_model_free (r.model);
       run (&r, seed, true, &over, &done);
-      harm_model_free (r.model);
+      slack_model_free (r.model);
       print_message ("seed %d: over target %.3f (blind %.3f), work %.2f of blind\n", (int)seed,
                      over, blind_over, done / blind_done);
       assert_true (over < 0.05);
@@ -166,13 +166,13 @@
       {
         char name[32];
         snprintf (name, sizeof name, "serving-%d", s);
-        int serving = harm_model_serving (r.model, name);
+        int serving = slack_model_serving_id (r.model, name);
         snprintf (name, sizeof name, "fill-%d", f);
-        double c = harm_model_coefficient (r.model, serving, harm_model_filling (r.model, name));
+        double c = slack_model_coefficient (r.model, serving, slack_model_fill_id (r.model, name));
         double real = (r.harmful[s][f] ? HARMFUL : HARMLESS) * TARGET_MS / BASE_MS;
         assert_true (fabs (c - real) < 2.2);
       }
-  harm_model_free (r.model);
+  slack_model_free (r.model);
 }
 
 int
