--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -51,7 +51,7 @@
 #include "leader_relay.h"     /* requests to the leader */
 #include "pacing.h"           /* pure: share of fill-in work on a worker */
 #include "seeded_group.h"     /* a group that bootstraps from seeds */
-#include "spread.h"           /* pure: which worker */
+#include "worker_select.h"    /* pure: which worker gets a task */
 #include "voter_plan.h"       /* pure: which members vote */
 #include "worker_link.h"      /* interface: orders to workers */
 #include "workflow.h"         /* pure: state machine */
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "pacing.h"
 #include "size_share.h"
-#include "spread.h"
+#include "worker_select.h"
 
 #define HOLD_IDLE_MS 1300 /* where no tail must be watched; silence is noticed in time */
 #define HOLD_GAP_MS 30    /* ends that come within it share one look */
--- a/src/workflow/dispatcher_place.c
+++ b/src/workflow/dispatcher_place.c
@@ -25,7 +25,7 @@
 struct candidates
 {
   struct dispatch_worker **workers;
-  struct spread_row *rows;
+  struct worker_candidate *rows;
   size_t count;
   size_t reserved;  /* workers in this tick */
   bool mostly_free; /* tasks that do not fill declare less than MOSTLY_FREE of the processors */
@@ -123,7 +123,7 @@
 }
 
 static void
-fill_row (const struct dispatch_worker *w, struct spread_row *row)
+fill_row (const struct dispatch_worker *w, struct worker_candidate *row)
 {
   uint32_t memory = w->used_memory_mb < w->memory_mb ? w->memory_mb - w->used_memory_mb : 0;
   uint32_t accelerators
@@ -193,7 +193,7 @@
     if ((s->flags & WORKFLOW_STEP_LASTING) && strcmp (s->image, image) != 0)
       foreign += s->millicores;
   }
-  return spread_foreign (w->lasting_millicores, foreign);
+  return worker_select_foreign_share (w->lasting_millicores, foreign);
 }
 
 static bool
@@ -215,7 +215,7 @@
   for (size_t i = 0; i < c->count; i++)
     {
       const struct dispatch_worker *w = c->workers[i];
-      struct spread_row *row = &c->rows[i];
+      struct worker_candidate *row = &c->rows[i];
       row->usable = strcmp (w->pool, pool) == 0
                     && (!s->required_label[0] || has_label (w, s->required_label));
       row->near_data = !s->data_rack[0] || has_label (w, s->data_rack);
@@ -224,12 +224,12 @@
 
 /* Most of the workers stay open for short tasks.  */
 static void
-reserve (struct candidates *c, const struct spread_request *q)
+reserve (struct candidates *c, const struct worker_request *q)
 {
   if (c->reserved > c->count / MOST_RESERVED_PART)
     return;
-  size_t row = spread_reserve (c->rows, c->count, q);
-  if (row == SPREAD_NONE)
+  size_t row = worker_select_reserve (c->rows, c->count, q);
+  if (row == WORKER_SELECT_NONE)
     return;
   c->rows[row].reserved = true;
   c->reserved++;
@@ -241,7 +241,7 @@
 choose (struct dispatcher *d, struct candidates *c, const struct waiting_task *t)
 {
   const workflow_step *s = workflow_step_of (t->task);
-  const struct spread_request q
+  const struct worker_request q
       = { .millicores = s->millicores,
           .memory_mb = s->memory_mb,
           .accelerators = s->accelerators,
@@ -256,12 +256,12 @@
   for (size_t i = 0; i < c->count; i++)
     {
       const struct dispatch_worker *w = c->workers[i];
-      struct spread_row *row = &c->rows[i];
+      struct worker_candidate *row = &c->rows[i];
       row->harm = 0;
       row->foreign = 0;
       row->same_step = 0;
       bool reserves = q.restarts && q.max_per_worker > 0;
-      if (!reserves && !spread_fits (row, &q))
+      if (!reserves && !worker_select_fits (row, &q))
         continue;
       if (q.lasts)
         row->foreign = foreign_part (w, s->image);
@@ -270,8 +270,8 @@
       if (s->max_per_worker > 0)
         row->same_step = count_same_step (w, t->task);
     }
-  size_t row = spread_choose (c->rows, c->count, &q);
-  if (row == SPREAD_NONE && q.restarts)
+  size_t row = worker_select_best (c->rows, c->count, &q);
+  if (row == WORKER_SELECT_NONE && q.restarts)
     reserve (c, &q);
   return row;
 }
@@ -365,7 +365,7 @@
             continue;
           }
         size_t row = choose (d, &c, &waiting[i]);
-        if (row == SPREAD_NONE)
+        if (row == WORKER_SELECT_NONE)
           {
             no_room.last = &waiting[i];
             if (no_room.count < MAX_NO_ROOM)
--- a/src/workflow/spread.c
+++ b/src/workflow/worker_select.c
@@ -1,4 +1,4 @@
-#include "spread.h"
+#include "worker_select.h"
 
 #include <math.h>
 
@@ -10,20 +10,20 @@
 #define FAR_PENALTY 1e6
 
 static double
-unused_millicores (const struct spread_row *r)
+unused_millicores (const struct worker_candidate *r)
 {
-  return (double)r->millicores - SPREAD_LASTING_USE * r->lasting_millicores - r->short_millicores
+  return (double)r->millicores - LASTING_USE_RATIO * r->lasting_millicores - r->short_millicores
          - r->fill_millicores;
 }
 
 static double
-undeclared_millicores (const struct spread_row *r)
+undeclared_millicores (const struct worker_candidate *r)
 {
   return (double)r->millicores - r->lasting_millicores - r->short_millicores;
 }
 
 double
-spread_foreign (uint32_t lasting_millicores, uint32_t foreign_millicores)
+worker_select_foreign_share (uint32_t lasting_millicores, uint32_t foreign_millicores)
 {
   if (lasting_millicores == 0)
     return EMPTY_FOREIGN;
@@ -31,7 +31,7 @@
 }
 
 bool
-spread_fits (const struct spread_row *r, const struct spread_request *q)
+worker_select_fits (const struct worker_candidate *r, const struct worker_request *q)
 {
   if (!r->usable || r->free_memory_mb < q->memory_mb || r->free_accelerators < q->accelerators)
     return false;
@@ -41,12 +41,13 @@
     return false;
   if (!q->fills)
     return undeclared_millicores (r) >= q->millicores;
-  bool calm = r->tail <= SPREAD_CALM && r->harm <= 1;
-  return (calm || q->despite_harm) && unused_millicores (r) >= SPREAD_FILL_SHARE * q->millicores;
+  bool calm = r->tail <= FILL_MAX_TAIL_RATIO && r->harm <= 1;
+  return (calm || q->despite_harm)
+         && unused_millicores (r) >= FILL_MIN_UNUSED_RATIO * q->millicores;
 }
 
 double
-spread_score (const struct spread_row *r, const struct spread_request *q)
+worker_select_score (const struct worker_candidate *r, const struct worker_request *q)
 {
   double far = r->near_data ? 0 : FAR_PENALTY;
   if (q->fills)
@@ -58,33 +59,35 @@
 }
 
 size_t
-spread_reserve (const struct spread_row *rows, size_t count, const struct spread_request *q)
+worker_select_reserve (const struct worker_candidate *rows, size_t count,
+                       const struct worker_request *q)
 {
-  size_t best = SPREAD_NONE;
+  size_t best = WORKER_SELECT_NONE;
   for (size_t i = 0; i < count; i++)
     {
-      const struct spread_row *r = &rows[i];
+      const struct worker_candidate *r = &rows[i];
       bool room = r->lasting_millicores + q->millicores <= r->millicores
                   && r->free_memory_mb >= q->memory_mb && r->free_accelerators >= q->accelerators;
       bool allowed = q->max_per_worker == 0 || r->same_step < q->max_per_worker;
       if (!r->usable || r->reserved || !room || !allowed)
         continue;
-      if (best == SPREAD_NONE || r->short_millicores < rows[best].short_millicores)
+      if (best == WORKER_SELECT_NONE || r->short_millicores < rows[best].short_millicores)
         best = i;
     }
   return best;
 }
 
 size_t
-spread_choose (const struct spread_row *rows, size_t count, const struct spread_request *q)
+worker_select_best (const struct worker_candidate *rows, size_t count,
+                    const struct worker_request *q)
 {
-  size_t best = SPREAD_NONE;
+  size_t best = WORKER_SELECT_NONE;
   double best_score = INFINITY;
   for (size_t i = 0; i < count; i++)
     {
-      if (!spread_fits (&rows[i], q))
+      if (!worker_select_fits (&rows[i], q))
         continue;
-      double score = spread_score (&rows[i], q);
+      double score = worker_select_score (&rows[i], q);
       if (score < best_score)
         {
           best = i;
--- a/src/workflow/spread.h
+++ b/src/workflow/worker_select.h
@@ -1,4 +1,4 @@
-/* spread: which worker gets a task.  Pure.
+/* worker_select: which worker gets a task.  Pure.
 
    Load pattern: lasting tasks declare about four fifths of all processors and use less than half of
    that; fill-in tasks bring most of the worth and run in what is unused.  So a task that fills is
@@ -10,20 +10,20 @@
    serves several images nearly every fill-in image disturbs one of them; so lasting tasks of one
    image share workers, and an empty worker is rather taken than one that serves other images.  */
 
-#ifndef SASSAFRAS_SPREAD_H
-#define SASSAFRAS_SPREAD_H
+#ifndef SASSAFRAS_WORKER_SELECT_H
+#define SASSAFRAS_WORKER_SELECT_H
 
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
 
-#define SPREAD_NONE SIZE_MAX
-#define SPREAD_LASTING_USE 0.5 /* part of its declared processors that a lasting task uses */
-#define SPREAD_FILL_SHARE 0.7  /* a task that fills needs this part of its processors unused */
-#define SPREAD_CALM 0.75       /* tails over target above this take no more tasks that fill */
+#define WORKER_SELECT_NONE SIZE_MAX
+#define LASTING_USE_RATIO 0.5     /* part of its declared processors that a lasting task uses */
+#define FILL_MIN_UNUSED_RATIO 0.7 /* a task that fills needs this part of its processors unused */
+#define FILL_MAX_TAIL_RATIO 0.75  /* tails over target above this take no more tasks that fill */
 
 /* One worker that may be used for the task.  */
-struct spread_row
+struct worker_candidate
 {
   uint32_t millicores;         /* of the worker */
   uint32_t lasting_millicores; /* declared by lasting tasks */
@@ -36,11 +36,12 @@
   bool reserved;      /* its room is kept for a lasting task that must restart */
   bool near_data;     /* holds the rack that the step's data is on */
   double tail;        /* largest tail over target; 0 without a sample */
-  double foreign;     /* a lasting task: what the worker serves of other images (spread_foreign) */
+  double foreign;     /* a lasting task: what the worker serves of other images
+                         (worker_select_foreign_share) */
   double harm;        /* predicted loss of slack with the task, over what is allowed */
 };
 
-struct spread_request
+struct worker_request
 {
   uint32_t millicores;
   uint32_t memory_mb;
@@ -52,18 +53,19 @@
   bool despite_harm; /* fills: waited long while most of the pool is free; pacing limits the harm */
 };
 
-double
-spread_foreign (uint32_t lasting_millicores,
-                uint32_t foreign_millicores); /* For spread_row.foreign, from declared sizes. */
-bool spread_fits (const struct spread_row *r, const struct spread_request *q); /* Room there. */
-double spread_score (const struct spread_row *r,
-                     const struct spread_request *q); /* Smaller is better. */
+double worker_select_foreign_share (
+    uint32_t lasting_millicores,
+    uint32_t foreign_millicores); /* For worker_candidate.foreign, from declared sizes. */
+bool worker_select_fits (const struct worker_candidate *r,
+                         const struct worker_request *q); /* Room there. */
+double worker_select_score (const struct worker_candidate *r,
+                            const struct worker_request *q); /* Smaller is better. */
 /* The worker to be kept free of short tasks until Q, which fits nowhere, fits there: with room
    beside its lasting tasks, and the fewest short ones.  Load pattern: every gap that a short task
    leaves is taken by the next, so a larger task never finds one.  */
-size_t spread_reserve (const struct spread_row *rows, size_t count,
-                       const struct spread_request *q); /* Row, or SPREAD_NONE. */
-size_t spread_choose (const struct spread_row *rows, size_t count,
-                      const struct spread_request *q); /* Row, or SPREAD_NONE. */
+size_t worker_select_reserve (const struct worker_candidate *rows, size_t count,
+                              const struct worker_request *q); /* Row, or WORKER_SELECT_NONE. */
+size_t worker_select_best (const struct worker_candidate *rows, size_t count,
+                           const struct worker_request *q); /* Row, or WORKER_SELECT_NONE. */
 
 #endif
--- a/tests/test_slack_model.c
+++ b/tests/test_slack_model.c
@@ -12,7 +12,7 @@
 
 #include "slack_model.h"
 #include "rng.h"
-#include "spread.h"
+#include "worker_select.h"
 
 #define SERVING 5
 #define FILLING 9
--- a/tests/test_spread.c
+++ b/tests/test_worker_select.c
@@ -8,44 +8,44 @@
 #include <cmocka.h>
 
 #include "rng.h"
-#include "spread.h"
+#include "worker_select.h"
 
-static struct spread_row
+static struct worker_candidate
 worker (uint32_t lasting, uint32_t fill)
 {
-  return (struct spread_row){ .millicores = 16000,
-                              .lasting_millicores = lasting,
-                              .fill_millicores = fill,
-                              .free_memory_mb = 10000,
-                              .usable = true,
-                              .near_data = true };
+  return (struct worker_candidate){ .millicores = 16000,
+                                    .lasting_millicores = lasting,
+                                    .fill_millicores = fill,
+                                    .free_memory_mb = 10000,
+                                    .usable = true,
+                                    .near_data = true };
 }
 
 /* A large task must still find a gap after small ones.  */
 static void
 test_small_tasks_take_the_smallest_gap (void **state)
 {
-  const struct spread_row rows[] = { worker (8000, 0), worker (14000, 0), worker (15500, 0) };
-  const struct spread_request q = { .millicores = 1000, .memory_mb = 100 };
+  const struct worker_candidate rows[] = { worker (8000, 0), worker (14000, 0), worker (15500, 0) };
+  const struct worker_request q = { .millicores = 1000, .memory_mb = 100 };
   (void)state;
-  assert_int_equal (spread_choose (rows, 3, &q), 1);
+  assert_int_equal (worker_select_best (rows, 3, &q), 1);
 }
 
 /* Lasting tasks of other images raise the chance that a fill-in image disturbs one of them.  */
 static void
 test_lasting_tasks_of_one_image_stay_together (void **state)
 {
-  struct spread_row rows[] = { worker (0, 0), worker (9000, 0), worker (6000, 0) };
-  const struct spread_request q = { .millicores = 3000, .memory_mb = 100, .lasts = true };
+  struct worker_candidate rows[] = { worker (0, 0), worker (9000, 0), worker (6000, 0) };
+  const struct worker_request q = { .millicores = 3000, .memory_mb = 100, .lasts = true };
   (void)state;
-  rows[0].foreign = spread_foreign (0, 0);
-  rows[1].foreign = spread_foreign (9000, 9000);
-  rows[2].foreign = spread_foreign (6000, 0);
-  assert_int_equal (spread_choose (rows, 3, &q), 2);
+  rows[0].foreign = worker_select_foreign_share (0, 0);
+  rows[1].foreign = worker_select_foreign_share (9000, 9000);
+  rows[2].foreign = worker_select_foreign_share (6000, 0);
+  assert_int_equal (worker_select_best (rows, 3, &q), 2);
   rows[2].usable = false;
-  assert_int_equal (spread_choose (rows, 3, &q), 0);
+  assert_int_equal (worker_select_best (rows, 3, &q), 0);
   rows[0].usable = false;
-  assert_int_equal (spread_choose (rows, 3, &q), 1);
+  assert_int_equal (worker_select_best (rows, 3, &q), 1);
 }
 
 #define WORKERS 48
@@ -58,7 +58,7 @@
 static int
 place_lasting_tasks (struct rng *rng, uint32_t serving[WORKERS][IMAGES])
 {
-  struct spread_row rows[WORKERS];
+  struct worker_candidate rows[WORKERS];
   int left_out = 0;
   for (int i = 0; i < WORKERS; i++)
     {
@@ -69,14 +69,14 @@
   for (int n = 0; n < JOBS * TASKS_PER_JOB; n++)
     {
       int image = n / TASKS_PER_JOB % IMAGES;
-      const struct spread_request q = { .millicores = 1600 + (uint32_t)rng_below (rng, 3200),
+      const struct worker_request q = { .millicores = 1600 + (uint32_t)rng_below (rng, 3200),
                                         .memory_mb = 6400,
                                         .lasts = true };
       for (int i = 0; i < WORKERS; i++)
-        rows[i].foreign = spread_foreign (rows[i].lasting_millicores,
-                                          rows[i].lasting_millicores - serving[i][image]);
-      size_t row = spread_choose (rows, WORKERS, &q);
-      if (row == SPREAD_NONE)
+        rows[i].foreign = worker_select_foreign_share (
+            rows[i].lasting_millicores, rows[i].lasting_millicores - serving[i][image]);
+      size_t row = worker_select_best (rows, WORKERS, &q);
+      if (row == WORKER_SELECT_NONE)
         {
           left_out++;
           continue;
@@ -117,17 +117,17 @@
 static void
 test_fill_goes_where_it_does_no_harm (void **state)
 {
-  struct spread_row rows[] = { worker (4000, 0), worker (12000, 4000), worker (8000, 0) };
-  const struct spread_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
+  struct worker_candidate rows[] = { worker (4000, 0), worker (12000, 4000), worker (8000, 0) };
+  const struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
   rows[0].harm = 1.2;
   rows[1].harm = 0.1;
   rows[2].harm = 0.9;
-  assert_int_equal (spread_choose (rows, 3, &q), 1);
+  assert_int_equal (worker_select_best (rows, 3, &q), 1);
   rows[1].tail = 0.9;
-  assert_int_equal (spread_choose (rows, 3, &q), 2);
+  assert_int_equal (worker_select_best (rows, 3, &q), 2);
   rows[2].harm = 1.1;
-  assert_int_equal (spread_choose (rows, 3, &q), SPREAD_NONE);
+  assert_int_equal (worker_select_best (rows, 3, &q), WORKER_SELECT_NONE);
 }
 
 /* Some fill-in images disturb every serving image: they starve if others take the workers that
@@ -135,44 +135,44 @@
 static void
 test_harmless_fill_leaves_the_empty_workers (void **state)
 {
-  struct spread_row rows[] = { worker (0, 0), worker (12000, 0) };
-  const struct spread_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
+  struct worker_candidate rows[] = { worker (0, 0), worker (12000, 0) };
+  const struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
   rows[1].harm = 0.2;
-  assert_int_equal (spread_choose (rows, 2, &q), 1);
+  assert_int_equal (worker_select_best (rows, 2, &q), 1);
   rows[1].harm = 1.1;
-  assert_int_equal (spread_choose (rows, 2, &q), 0);
+  assert_int_equal (worker_select_best (rows, 2, &q), 0);
 }
 
 /* A job whose image disturbs everything must not wait for ever beside free workers.  */
 static void
 test_a_starved_job_runs_despite_harm (void **state)
 {
-  struct spread_row rows[] = { worker (4000, 0), worker (4000, 0) };
-  struct spread_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
+  struct worker_candidate rows[] = { worker (4000, 0), worker (4000, 0) };
+  struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
   rows[0].harm = 3;
   rows[1].harm = 2;
-  assert_int_equal (spread_choose (rows, 2, &q), SPREAD_NONE);
+  assert_int_equal (worker_select_best (rows, 2, &q), WORKER_SELECT_NONE);
   q.despite_harm = true;
-  assert_int_equal (spread_choose (rows, 2, &q), 1);
+  assert_int_equal (worker_select_best (rows, 2, &q), 1);
 }
 
 static void
 test_limits_hold (void **state)
 {
-  struct spread_row row = worker (0, 0);
-  const struct spread_request q
+  struct worker_candidate row = worker (0, 0);
+  const struct worker_request q
       = { .millicores = 1000, .memory_mb = 100, .accelerators = 1, .max_per_worker = 2 };
   (void)state;
-  assert_false (spread_fits (&row, &q));
+  assert_false (worker_select_fits (&row, &q));
   row.free_accelerators = 1;
-  assert_true (spread_fits (&row, &q));
+  assert_true (worker_select_fits (&row, &q));
   row.same_step = 2;
-  assert_false (spread_fits (&row, &q));
+  assert_false (worker_select_fits (&row, &q));
   row.same_step = 1;
   row.free_memory_mb = 99;
-  assert_false (spread_fits (&row, &q));
+  assert_false (worker_select_fits (&row, &q));
 }
 
 /* Room is kept on the worker that gets free soonest; short tasks stay away, the restart does not.
@@ -180,19 +180,19 @@
 static void
 test_room_is_reserved_for_a_restart (void **state)
 {
-  struct spread_row rows[] = { worker (8000, 0), worker (10000, 0), worker (14000, 0) };
-  const struct spread_request restart = { .millicores = 4000, .lasts = true, .restarts = true };
-  const struct spread_request brief = { .millicores = 1000 };
+  struct worker_candidate rows[] = { worker (8000, 0), worker (10000, 0), worker (14000, 0) };
+  const struct worker_request restart = { .millicores = 4000, .lasts = true, .restarts = true };
+  const struct worker_request brief = { .millicores = 1000 };
   (void)state;
   rows[0].short_millicores = 8000;
   rows[1].short_millicores = 6000;
-  assert_int_equal (spread_choose (rows, 3, &restart), SPREAD_NONE);
-  assert_int_equal (spread_reserve (rows, 3, &restart), 1);
+  assert_int_equal (worker_select_best (rows, 3, &restart), WORKER_SELECT_NONE);
+  assert_int_equal (worker_select_reserve (rows, 3, &restart), 1);
   rows[1].reserved = true;
   rows[1].short_millicores = 2000;
-  assert_int_equal (spread_choose (rows, 3, &brief), 2);
-  assert_int_equal (spread_choose (rows, 3, &restart), 1);
-  assert_int_equal (spread_reserve (rows, 3, &restart), 0);
+  assert_int_equal (worker_select_best (rows, 3, &brief), 2);
+  assert_int_equal (worker_select_best (rows, 3, &restart), 1);
+  assert_int_equal (worker_select_reserve (rows, 3, &restart), 0);
 }
 
 int
