--- a/src/workflow/dispatcher.h
+++ b/src/workflow/dispatcher.h
@@ -71,8 +71,8 @@
 /* Inputs of workers.  */
 int dispatcher_report (struct dispatcher *d, int64_t now_ms, const struct worker_report *r,
                        struct status *st); /* -1 for a report that is overtaken by a newer one. */
-void dispatcher_left (struct dispatcher *d, int64_t now_ms,
-                      const char *worker); /* The worker ends now, with all that it runs. */
+void dispatcher_worker_left (struct dispatcher *d, int64_t now_ms,
+                             const char *worker); /* The worker ends now, with all that it runs. */
 void dispatcher_start_answer (struct dispatcher *d, int64_t now_ms, const char *worker,
                               const workflow_task_ref *task, uint32_t run,
                               enum worker_call_result result);
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -67,7 +67,7 @@
       note_uncertain (d, r);
       r->stop_settled = true;
       break;
-    case WORKER_CALL_OTHER_LIFE:
+    case WORKER_CALL_OTHER_INCARNATION:
       note_not_started (d, r, result);
       dispatch_worker_gone (d, r->worker, "another worker has its address");
       break;
@@ -90,7 +90,7 @@
     return;
   r->stop_open = false;
   r->stop_next_ms = now_ms + STOP_RETRY_MS;
-  if (result == WORKER_CALL_OTHER_LIFE)
+  if (result == WORKER_CALL_OTHER_INCARNATION)
     dispatch_worker_gone (d, r->worker, "another worker has its address");
   if (result != WORKER_CALL_OK)
     return;
@@ -318,7 +318,7 @@
   w->hold_next_ms = now_ms + HOLD_RETRY_MS;
   log_event (LOG_INFO, "hold-failed", "worker=%s result=%s silent_ms=%" PRId64, worker,
              result_name (result), w->fenced ? now_ms - w->heard_ms : 0);
-  if (result == WORKER_CALL_OTHER_LIFE)
+  if (result == WORKER_CALL_OTHER_INCARNATION)
     dispatch_worker_gone (d, w, "another worker has its address");
 }
 
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -249,7 +249,7 @@
 }
 
 void
-dispatcher_left (struct dispatcher *d, int64_t now_ms, const char *worker)
+dispatcher_worker_left (struct dispatcher *d, int64_t now_ms, const char *worker)
 {
   struct dispatch_worker *w = dispatch_find_worker (d, worker);
   d->now_ms = now_ms;
--- a/src/workflow/worker_link.h
+++ b/src/workflow/worker_link.h
@@ -18,14 +18,15 @@
 enum worker_call_result
 {
   WORKER_CALL_OK,
-  WORKER_CALL_FENCED,     /* a newer leader has called this worker; nothing was done */
-  WORKER_CALL_OLD_RUN,    /* this or a later run was stopped or ended there; nothing was done */
-  WORKER_CALL_LATE,       /* the deadline had passed; nothing was done */
-  WORKER_CALL_NO_ROOM,    /* nothing was done */
-  WORKER_CALL_NO_TICKET,  /* the advice that allows this worker is missing; nothing was done */
-  WORKER_CALL_REFUSED,    /* malformed, or the worker is unhealthy; nothing was done */
-  WORKER_CALL_OTHER_LIFE, /* another worker has the address; the one that was meant is gone */
-  WORKER_CALL_UNKNOWN,    /* no answer: it may have been done, or may be done later */
+  WORKER_CALL_FENCED,    /* a newer leader has called this worker; nothing was done */
+  WORKER_CALL_OLD_RUN,   /* this or a later run was stopped or ended there; nothing was done */
+  WORKER_CALL_LATE,      /* the deadline had passed; nothing was done */
+  WORKER_CALL_NO_ROOM,   /* nothing was done */
+  WORKER_CALL_NO_TICKET, /* the advice that allows this worker is missing; nothing was done */
+  WORKER_CALL_REFUSED,   /* malformed, or the worker is unhealthy; nothing was done */
+  WORKER_CALL_OTHER_INCARNATION, /* another worker has the address; the one that was meant is gone
+                                  */
+  WORKER_CALL_UNKNOWN,           /* no answer: it may have been done, or may be done later */
 };
 
 struct worker_address
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -230,7 +230,7 @@
   buffer_close (&f->log[0].entry);
   f->log_count = 0;
   dispatcher_proposed (f->dispatcher, f->now_ms, f->log[0].token, false);
-  dispatcher_left (f->dispatcher, f->now_ms, "w1");
+  dispatcher_worker_left (f->dispatcher, f->now_ms, "w1");
   fixture_join (f, "w2", "10.0.0.2:1");
   for (int i = 0; i < 400 && f->start_count == 1; i++)
     {
@@ -484,7 +484,7 @@
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 1);
   fixture_answer_start (f, &f->starts[0], WORKER_CALL_OK);
-  dispatcher_left (f->dispatcher, f->now_ms, "w1");
+  dispatcher_worker_left (f->dispatcher, f->now_ms, "w1");
   fixture_commit (f);
   fixture_join (f, "w2", "10.0.0.2:1");
   submit_sized (f, 2, 60, 1000, 0);
