--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -6,10 +6,10 @@
 #include "dispatcher_internal.h"
 
 #define PRUNE_BATCH 256
-#define PACE_ALL_BELOW 13  /* percent: three cuts in a row */
-#define SLOWNESS_STEP 0.02 /* the last 50 runs count */
-#define MAX_SLOWNESS 5.0   /* one stuck run must not shift the mean far */
-#define LOAD_EVERY_MS 1000
+#define PACE_ALL_BELOW_PERCENT 13 /* percent: three cuts in a row */
+#define SLOWDOWN_SMOOTHING 0.02   /* the last 50 runs count */
+#define MAX_SLOWDOWN 5.0          /* one stuck run must not shift the mean far */
+#define LOAD_LOG_PERIOD_MS 1000
 
 bool
 dispatch_has_authority (const struct dispatcher *d)
@@ -18,7 +18,7 @@
 }
 
 uint64_t
-dispatch_send (struct dispatcher *d, const workflow_command *c)
+dispatch_propose (struct dispatcher *d, const workflow_command *c)
 {
   uint64_t token = ++d->token;
   d->config.propose (d->config.propose_arg, c, token);
@@ -32,7 +32,7 @@
 }
 
 static void
-add_room (struct dispatch_run *r, int sign)
+adjust_usage (struct dispatch_run *r, int sign)
 {
   struct dispatch_worker *w = r->worker;
   const workflow_step *s = workflow_step_of (r->task);
@@ -43,9 +43,9 @@
     cores = &w->lasting_millicores;
   *cores += (uint32_t)sign * s->millicores;
   if (r->image >= 0 && (s->flags & WORKFLOW_STEP_FILL))
-    w->filling_of[r->image] += (uint32_t)sign * s->millicores;
+    w->fill_millicores_of[r->image] += (uint32_t)sign * s->millicores;
   else if (r->image >= 0)
-    w->serving_of[r->image] = (uint16_t)(w->serving_of[r->image] + sign);
+    w->serving_tasks_of[r->image] = (uint16_t)(w->serving_tasks_of[r->image] + sign);
   w->used_memory_mb += (uint32_t)sign * s->memory_mb;
   w->used_accelerators += (uint32_t)sign * s->accelerators;
 }
@@ -59,17 +59,17 @@
   r->task = t;
   r->number = number;
   r->sent_ms = d->now_ms;
-  r->paced = PACING_FULL;
-  r->image = dispatch_image (d, workflow_step_of (t));
+  r->paced = PACING_FULL_PERCENT;
+  r->image = dispatch_image_id (d, workflow_step_of (t));
   TAILQ_INSERT_TAIL (&w->runs, r, link);
-  add_room (r, 1);
+  adjust_usage (r, 1);
   return r;
 }
 
 void
 dispatch_free_run (struct dispatch_run *r)
 {
-  add_room (r, -1);
+  adjust_usage (r, -1);
   if (r->run)
     r->run->dispatch = NULL;
   if (r->task->placing == r)
@@ -98,8 +98,8 @@
 }
 
 void
-dispatch_end (struct dispatcher *d, struct dispatch_run *r, enum workflow_outcome outcome,
-              const char *checkpoint, const char *why)
+dispatch_propose_end (struct dispatcher *d, struct dispatch_run *r, enum workflow_outcome outcome,
+                      const char *checkpoint, const char *why)
 {
   static char empty[] = "";
   if (r->state == DISPATCH_ENDING || r->state == DISPATCH_PLACING)
@@ -116,17 +116,17 @@
              r->task->job->spec.id, r->task->step, r->task->index, r->number, r->worker->id,
              outcome_name (outcome), why);
   r->state = DISPATCH_ENDING;
-  r->token = dispatch_send (d, &c);
+  r->token = dispatch_propose (d, &c);
 }
 
 static void
-want_stops (struct workflow_task *t)
+request_stops (struct workflow_task *t)
 {
   for (int i = 0; i < WORKFLOW_MAX_RUNS; i++)
     {
       struct dispatch_run *r = t->runs[i] ? t->runs[i]->dispatch : NULL;
       if (r)
-        r->stop_wanted = true;
+        r->stop_requested = true;
     }
 }
 
@@ -145,13 +145,13 @@
 }
 
 static void
-note_failure (struct dispatcher *d, struct dispatch_worker *w)
+record_failure (struct dispatcher *d, struct dispatch_worker *w)
 {
   w->failures++;
   if (w->failures < 2)
     return;
-  int64_t pause_ms = AVOID_FIRST_MS;
-  for (uint32_t i = 2; i < w->failures && pause_ms < AVOID_LAST_MS; i++)
+  int64_t pause_ms = AVOID_MIN_MS;
+  for (uint32_t i = 2; i < w->failures && pause_ms < AVOID_MAX_MS; i++)
     pause_ms *= 2;
   w->avoid_until_ms = d->now_ms + pause_ms;
   log_event (LOG_INFO, "worker-avoided", "worker=%s failures=%u for_ms=%" PRId64, w->id,
@@ -160,16 +160,16 @@
 
 /* Run times are known for whole runs only: a checkpoint or a change of leader cuts them.  */
 static void
-note_slowness (struct dispatcher *d, const struct dispatch_run *r)
+update_slowdown (struct dispatcher *d, const struct dispatch_run *r)
 {
   const workflow_step *s = workflow_step_of (r->task);
   if (!(s->flags & WORKFLOW_STEP_FILL) || r->running_ms == 0 || r->task->checkpoint
       || s->estimate_ms == 0)
     return;
-  double slowness = (double)(d->now_ms - r->running_ms) / s->estimate_ms;
-  if (slowness > MAX_SLOWNESS)
-    slowness = MAX_SLOWNESS;
-  d->fill_slowness += SLOWNESS_STEP * (slowness - d->fill_slowness);
+  double slowdown = (double)(d->now_ms - r->running_ms) / s->estimate_ms;
+  if (slowdown > MAX_SLOWDOWN)
+    slowdown = MAX_SLOWDOWN;
+  d->fill_slowdown += SLOWDOWN_SMOOTHING * (slowdown - d->fill_slowdown);
 }
 
 static void
@@ -179,17 +179,17 @@
   struct dispatch_run *r = run->dispatch;
   struct workflow_task *t = run->task;
   if (outcome == WORKFLOW_DONE && !(workflow_step_of (t)->flags & WORKFLOW_STEP_LASTING))
-    want_stops (t);
+    request_stops (t);
   if (outcome != WORKFLOW_NOT_STARTED)
     t->since_ms = 0;
   if (!r)
     return;
   if (outcome == WORKFLOW_FAILED)
-    note_failure (d, r->worker);
+    record_failure (d, r->worker);
   else if (outcome == WORKFLOW_DONE)
     {
       r->worker->failures = 0;
-      note_slowness (d, r);
+      update_slowdown (d, r);
     }
   dispatch_free_run (r);
 }
@@ -198,7 +198,7 @@
 on_done_late (void *arg, struct workflow_task *t)
 {
   (void)arg;
-  want_stops (t);
+  request_stops (t);
 }
 
 static void
@@ -213,7 +213,7 @@
              j->spec.id, j->spec.queue, names[j->state], d->now_ms - j->seen_ms);
   for (uint32_t i = 0; i < j->occurrences * j->spec.steps.steps_len; i++)
     for (uint32_t k = 0; k < j->spec.steps.steps_val[i % j->spec.steps.steps_len].count; k++)
-      want_stops (&j->stages[i].tasks[k]);
+      request_stops (&j->stages[i].tasks[k]);
 }
 
 struct dispatcher *
@@ -224,8 +224,8 @@
   cell_map_init (&d->workers);
   TAILQ_INIT (&d->worker_list);
   SLIST_INIT (&d->sizes);
-  d->harm = slack_model_new ();
-  d->fill_slowness = 1;
+  d->slack_model = slack_model_new ();
+  d->fill_slowdown = 1;
   config->workflow->observer = (struct workflow_observer){ .placed = on_placed,
                                                            .ended = on_ended,
                                                            .done_late = on_done_late,
@@ -242,7 +242,7 @@
   d->prune_token = 0;
   while ((w = TAILQ_FIRST (&d->worker_list)) != NULL)
     dispatch_free_worker (d, w);
-  dispatch_forget_sizes (d);
+  dispatch_clear_sizes (d);
 }
 
 void
@@ -251,7 +251,7 @@
   dispatcher_resign (d);
   memset (&d->config.workflow->observer, 0, sizeof d->config.workflow->observer);
   cell_map_close (&d->workers);
-  slack_model_free (d->harm);
+  slack_model_free (d->slack_model);
   free (d);
 }
 
@@ -265,7 +265,7 @@
   r->run = run;
   r->state = DISPATCH_UNCERTAIN;
   r->inherited = true;
-  r->stop_wanted
+  r->stop_requested
       = run->task->job->state != WORKFLOW_JOB_OPEN || run->task->state == WORKFLOW_TASK_DONE;
   run->dispatch = r;
 }
@@ -282,12 +282,12 @@
   d->now_ms = now_ms;
   d->lead_ms = now_ms;
   d->tick_ms = 0;
-  d->lag_ms = 0;
+  d->tick_lag_ms = 0;
   TAILQ_FOREACH (run, &w->runs, link)
   inherit_run (d, run);
   TAILQ_FOREACH (j, &w->open, link)
   {
-    dispatch_see_job (d, j);
+    dispatch_register_job (d, j);
     for (uint32_t i = 0; i < j->occurrences * j->spec.steps.steps_len; i++)
       for (uint32_t k = 0; k < j->spec.steps.steps_val[i % j->spec.steps.steps_len].count; k++)
         {
@@ -348,14 +348,14 @@
 /* Only what harms is held back, and all of it once the share has fallen low: the model may be
  * wrong.  */
 static uint32_t
-wanted_pace (struct dispatcher *d, const struct dispatch_run *r)
+target_pace (struct dispatcher *d, const struct dispatch_run *r)
 {
   const struct dispatch_worker *w = r->worker;
   const workflow_step *s = workflow_step_of (r->task);
-  if (!(s->flags & WORKFLOW_STEP_FILL) || w->pacing.percent == PACING_FULL)
-    return PACING_FULL;
-  if (w->pacing.percent >= PACE_ALL_BELOW && !dispatch_is_harmful (d, w, r->image))
-    return PACING_FULL;
+  if (!(s->flags & WORKFLOW_STEP_FILL) || w->pacing.percent == PACING_FULL_PERCENT)
+    return PACING_FULL_PERCENT;
+  if (w->pacing.percent >= PACE_ALL_BELOW_PERCENT && !dispatch_should_pace (d, w, r->image))
+    return PACING_FULL_PERCENT;
   return w->pacing.percent;
 }
 
@@ -366,7 +366,7 @@
   const struct worker_pace order = { .to = dispatch_address (d, w),
                                      .task = workflow_ref (r->task),
                                      .run = r->number,
-                                     .percent = wanted_pace (d, r) };
+                                     .percent = target_pace (d, r) };
   r->pace_open = true;
   d->config.link->ops->pace (d->config.link, &order);
 }
@@ -377,10 +377,10 @@
   bool may_stop = r->state == DISPATCH_RUNNING || r->state == DISPATCH_UNCERTAIN;
   if (!r->worker->address || r->worker->gone)
     return;
-  if (may_stop && r->stop_wanted && !r->stop_settled && !r->stop_open
+  if (may_stop && r->stop_requested && !r->stop_settled && !r->stop_open
       && d->now_ms >= r->stop_next_ms)
     send_stop (d, r);
-  if (r->state == DISPATCH_RUNNING && !r->pace_open && r->paced != wanted_pace (d, r))
+  if (r->state == DISPATCH_RUNNING && !r->pace_open && r->paced != target_pace (d, r))
     send_pace (d, r);
 }
 
@@ -402,7 +402,7 @@
     return;
   c.workflow_command_u.prune.prune_val = ids;
   c.workflow_command_u.prune.prune_len = n;
-  d->prune_token = dispatch_send (d, &c);
+  d->prune_token = dispatch_propose (d, &c);
 }
 
 /* One line a second on how full the pool is, and how far fill-in tasks are held back.  */
@@ -416,15 +416,15 @@
   uint64_t used = 0;
   unsigned usable = 0;
   unsigned held = 0;
-  if (d->now_ms < d->load_next_ms)
+  if (d->now_ms < d->load_log_next_ms)
     return;
-  d->load_next_ms = d->now_ms + LOAD_EVERY_MS;
+  d->load_log_next_ms = d->now_ms + LOAD_LOG_PERIOD_MS;
   TAILQ_FOREACH (w, &d->worker_list, link)
   {
     usable += dispatch_usable (d, w);
-    held += w->pacing.percent < PACING_FULL;
+    held += w->pacing.percent < PACING_FULL_PERCENT;
     fill += w->fill_millicores;
-    paced += (uint64_t)w->fill_millicores * w->pacing.percent / PACING_FULL;
+    paced += (uint64_t)w->fill_millicores * w->pacing.percent / PACING_FULL_PERCENT;
     TAILQ_FOREACH (r, &w->runs, link)
     if (workflow_step_of (r->task)->flags & WORKFLOW_STEP_FILL)
       used += r->measure;
@@ -432,7 +432,7 @@
   log_event (LOG_INFO, "load",
              "usable=%u held_back=%u waiting=%u waiting_fill=%" PRIu64 " fill=%" PRIu64
              " fill_paced=%" PRIu64 " fill_used=%" PRIu64 " tick_lag_ms=%.0f",
-             usable, held, d->waiting, d->waiting_fill, fill, paced, used, d->lag_ms);
+             usable, held, d->waiting, d->waiting_fill, fill, paced, used, d->tick_lag_ms);
 }
 
 static unsigned
@@ -441,15 +441,15 @@
   int64_t due = since_ms * FIRST_HOLDS_PER_TICK / DISPATCHER_TICK_MS;
   if (due < 1)
     return 1;
-  return (unsigned)(due < FIRST_HOLDS_MOST ? due : FIRST_HOLDS_MOST);
+  return (unsigned)(due < MAX_FIRST_HOLDS ? due : MAX_FIRST_HOLDS);
 }
 
 /* A loop that has more to do than time runs its ticks late.  */
 static void
-note_lag (struct dispatcher *d)
+update_tick_lag (struct dispatcher *d)
 {
   int64_t late_ms = d->tick_ms > 0 ? d->now_ms - d->tick_ms - DISPATCHER_TICK_MS : 0;
-  d->lag_ms += LAG_SMOOTHING * ((double)(late_ms > 0 ? late_ms : 0) - d->lag_ms);
+  d->tick_lag_ms += LAG_SMOOTHING * ((double)(late_ms > 0 ? late_ms : 0) - d->tick_lag_ms);
   d->tick_ms = d->now_ms;
 }
 
@@ -461,7 +461,7 @@
   struct dispatch_run *r;
   int64_t since_ms = d->tick_ms > 0 ? now_ms - d->tick_ms : DISPATCHER_TICK_MS;
   d->now_ms = now_ms;
-  note_lag (d);
+  update_tick_lag (d);
   if (!dispatch_has_authority (d))
     return;
   d->first_holds = first_holds_due (since_ms);
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -16,31 +16,31 @@
 }
 
 static void
-note_running (struct dispatcher *d, struct dispatch_run *r)
+mark_running (struct dispatcher *d, struct dispatch_run *r)
 {
   r->state = DISPATCH_RUNNING;
   r->running_ms = d->now_ms;
   r->inherited = false;
-  r->settled = ++d->mark;
+  r->settled_mark = ++d->mark;
 }
 
 /* Nothing is known of the order: the next hold tells, and no stop is needed when it lists the run.
  */
 static void
-note_uncertain (struct dispatcher *d, struct dispatch_run *r)
+mark_uncertain (struct dispatcher *d, struct dispatch_run *r)
 {
   r->state = DISPATCH_UNCERTAIN;
-  r->settled = ++d->mark;
+  r->settled_mark = ++d->mark;
   r->worker->hold_now = true;
 }
 
 static void
-note_not_started (struct dispatcher *d, struct dispatch_run *r, enum worker_call_result result)
+end_not_started (struct dispatcher *d, struct dispatch_run *r, enum worker_call_result result)
 {
-  r->task->retry_ms = d->now_ms + TASK_RETRY_MS;
+  r->task->retry_ms = d->now_ms + START_RETRY_MS;
   if (result == WORKER_CALL_NO_ROOM || result == WORKER_CALL_REFUSED)
-    r->worker->no_room_until_ms = d->now_ms + NO_ROOM_MS;
-  dispatch_end (d, r, WORKFLOW_NOT_STARTED, NULL, result_name (result));
+    r->worker->no_room_until_ms = d->now_ms + NO_ROOM_PAUSE_MS;
+  dispatch_propose_end (d, r, WORKFLOW_NOT_STARTED, NULL, result_name (result));
 }
 
 void
@@ -58,21 +58,21 @@
   switch (result)
     {
     case WORKER_CALL_OK:
-      note_running (d, r);
+      mark_running (d, r);
       break;
     case WORKER_CALL_UNKNOWN:
-      note_uncertain (d, r);
+      mark_uncertain (d, r);
       break;
     case WORKER_CALL_OLD_RUN:
-      note_uncertain (d, r);
+      mark_uncertain (d, r);
       r->stop_settled = true;
       break;
     case WORKER_CALL_OTHER_INCARNATION:
-      note_not_started (d, r, result);
-      dispatch_worker_gone (d, r->worker, "another worker has its address");
+      end_not_started (d, r, result);
+      dispatch_mark_gone (d, r->worker, "another worker has its address");
       break;
     default:
-      note_not_started (d, r, result);
+      end_not_started (d, r, result);
       break;
     }
 }
@@ -91,11 +91,11 @@
   r->stop_open = false;
   r->stop_next_ms = now_ms + STOP_RETRY_MS;
   if (result == WORKER_CALL_OTHER_INCARNATION)
-    dispatch_worker_gone (d, r->worker, "another worker has its address");
+    dispatch_mark_gone (d, r->worker, "another worker has its address");
   if (result != WORKER_CALL_OK)
     return;
   r->stop_settled = true;
-  r->settled = ++d->mark;
+  r->settled_mark = ++d->mark;
   r->worker->hold_now = true;
 }
 
@@ -114,7 +114,7 @@
 }
 
 static void
-stop_stranger (struct dispatcher *d, const struct dispatch_worker *w, const struct held_run *h)
+stop_unknown_run (struct dispatcher *d, const struct dispatch_worker *w, const struct held_run *h)
 {
   const struct worker_stop order
       = { .to = dispatch_address (d, w), .task = h->task, .run = h->run };
@@ -125,7 +125,7 @@
 
 /* True when the last tail of a lasting task is over TARGET; notes the worst of the worker.  */
 static void
-note_measure (struct dispatch_run *r, const struct held_run *h, double *worst)
+update_measure (struct dispatch_run *r, const struct held_run *h, double *worst)
 {
   const workflow_step *s = workflow_step_of (r->task);
   r->measure = h->measure;
@@ -138,44 +138,44 @@
 
 /* R is in LISTS: it is not absent from them.  */
 static void
-note_listed (struct dispatch_run *r, const struct worker_lists *lists)
+mark_listed (struct dispatch_run *r, const struct worker_lists *lists)
 {
-  if (r->settled < lists->mark)
-    r->settled = lists->mark;
+  if (r->settled_mark < lists->mark)
+    r->settled_mark = lists->mark;
 }
 
 static void
-take_running (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
+process_running (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
 {
   double worst = 0;
-  dispatch_note_mix (d, w);
+  dispatch_update_mix (d, w);
   for (size_t i = 0; i < lists->running_len; i++)
     {
       const struct held_run *h = &lists->running[i];
       struct dispatch_run *r = dispatch_find_run (d, w->id, &h->task, h->run);
       if (!r)
         {
-          stop_stranger (d, w, h);
+          stop_unknown_run (d, w, h);
           continue;
         }
-      note_listed (r, lists);
+      mark_listed (r, lists);
       if (r->state == DISPATCH_UNCERTAIN && !r->stop_settled)
-        note_running (d, r);
+        mark_running (d, r);
       if (h->checkpoint[0] && (!r->checkpoint || strcmp (r->checkpoint, h->checkpoint) != 0))
         {
           free (r->checkpoint);
           r->checkpoint = xstrdup (h->checkpoint);
         }
-      note_measure (r, h, &worst);
-      dispatch_learn_tail (d, w, r);
+      update_measure (r, h, &worst);
+      dispatch_add_tail_sample (d, w, r);
     }
-  if (pacing_sample (&w->pacing, d->now_ms, worst))
+  if (pacing_add_sample (&w->pacing, d->now_ms, worst))
     log_event (LOG_INFO, "pace-changed", "worker=%s percent=%u worst_tail=%.2f", w->id,
                w->pacing.percent, worst);
 }
 
 static struct listed_end *
-note_end (struct dispatch_worker *w, uint64_t number)
+find_or_add_end (struct dispatch_worker *w, uint64_t number)
 {
   struct listed_end *e;
   STAILQ_FOREACH (e, &w->ends, link)
@@ -219,20 +219,20 @@
   log_event (LOG_INFO, "run-done-late",
              "job=%016" PRIx64 " step=%u task=%u run=%u worker=%s last_run=%u", h->task.job,
              h->task.step, h->task.index, h->run, w->id, t->last_run);
-  dispatch_send (d, &c);
-  t->done_until_ms = d->now_ms + DONE_LISTED_MS;
+  dispatch_propose (d, &c);
+  t->done_until_ms = d->now_ms + LATE_DONE_WAIT_MS;
   return true;
 }
 
 static void
-take_ends (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
+process_ends (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
 {
   for (size_t i = 0; i < lists->ended_len; i++)
     {
       const struct held_end *h = &lists->ended[i];
       if (h->number <= w->acknowledged)
         continue;
-      struct listed_end *e = note_end (w, h->number);
+      struct listed_end *e = find_or_add_end (w, h->number);
       struct dispatch_run *r = dispatch_find_run (d, w->id, &h->task, h->run);
       if (!r)
         {
@@ -240,52 +240,53 @@
           continue;
         }
       e->recorded = false;
-      note_listed (r, lists);
-      dispatch_end (d, r, h->outcome, h->checkpoint, "the worker listed its end");
+      mark_listed (r, lists);
+      dispatch_propose_end (d, r, h->outcome, h->checkpoint, "the worker listed its end");
     }
   advance_cursor (w);
 }
 
 /* Runs that the lists should have and don't.  */
 static void
-take_absent (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
+end_unlisted_runs (struct dispatcher *d, struct dispatch_worker *w,
+                   const struct worker_lists *lists)
 {
   struct dispatch_run *r;
   if (!lists->complete)
     return;
   TAILQ_FOREACH (r, &w->runs, link)
   {
-    if (r->settled >= lists->mark)
+    if (r->settled_mark >= lists->mark)
       continue;
     if (r->state == DISPATCH_RUNNING)
-      dispatch_end (d, r, WORKFLOW_LAPSED, NULL, "the worker no longer lists it");
+      dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL, "the worker no longer lists it");
     else if (r->state == DISPATCH_UNCERTAIN && r->inherited)
-      dispatch_end (d, r, WORKFLOW_LAPSED, NULL, "not listed after the fence was raised");
+      dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL, "not listed after the fence was raised");
     else if (r->state == DISPATCH_UNCERTAIN && r->stop_settled)
-      dispatch_end (d, r, WORKFLOW_NOT_STARTED, NULL, "not listed after a stop");
+      dispatch_propose_end (d, r, WORKFLOW_NOT_STARTED, NULL, "not listed after a stop");
     else if (r->state == DISPATCH_UNCERTAIN)
-      r->stop_wanted = true;
+      r->stop_requested = true;
   }
 }
 
 static void
-take_lists (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
+process_lists (struct dispatcher *d, struct dispatch_worker *w, const struct worker_lists *lists)
 {
   if (lists->born_ms > 0 && lists->born_ms < w->born_ms)
     return;
-  dispatch_note_life (d, w, lists->born_ms);
-  dispatch_note_clock (d, w, lists->clock_ms);
+  dispatch_update_incarnation (d, w, lists->born_ms);
+  dispatch_update_clock (d, w, lists->clock_ms);
   if (lists->clock_ms < w->listed_clock_ms)
     return;
   if (!w->fenced)
     log_event (LOG_INFO, "worker-heard", "worker=%s running=%zu ended=%zu", w->id,
                lists->running_len, lists->ended_len);
   w->listed_clock_ms = lists->clock_ms;
-  w->heard_ms = d->now_ms;
+  w->last_answer_ms = d->now_ms;
   w->fenced = true;
-  take_running (d, w, lists);
-  take_ends (d, w, lists);
-  take_absent (d, w, lists);
+  process_running (d, w, lists);
+  process_ends (d, w, lists);
+  end_unlisted_runs (d, w, lists);
 }
 
 /* Load pattern: several ends a second on each of hundreds of workers.  A look for each of them
@@ -295,8 +296,8 @@
 hold_gap_ms (const struct dispatcher *d)
 {
   int64_t gap_ms = HOLD_GAP_MS + (int64_t)d->workers.count * HOLD_GAP_PER_WORKER_US / US_PER_MS
-                   + (int64_t)(HOLD_GAP_PER_LAG * d->lag_ms);
-  return gap_ms < HOLD_GAP_MOST_MS ? gap_ms : HOLD_GAP_MOST_MS;
+                   + (int64_t)(HOLD_GAP_LAG_FACTOR * d->tick_lag_ms);
+  return gap_ms < MAX_HOLD_GAP_MS ? gap_ms : MAX_HOLD_GAP_MS;
 }
 
 void
@@ -312,14 +313,14 @@
   w->hold_next_ms = now_ms + hold_gap_ms (d);
   if (result == WORKER_CALL_OK)
     {
-      take_lists (d, w, lists);
+      process_lists (d, w, lists);
       return;
     }
   w->hold_next_ms = now_ms + HOLD_RETRY_MS;
   log_event (LOG_INFO, "hold-failed", "worker=%s result=%s silent_ms=%" PRId64, worker,
-             result_name (result), w->fenced ? now_ms - w->heard_ms : 0);
+             result_name (result), w->fenced ? now_ms - w->last_answer_ms : 0);
   if (result == WORKER_CALL_OTHER_INCARNATION)
-    dispatch_worker_gone (d, w, "another worker has its address");
+    dispatch_mark_gone (d, w, "another worker has its address");
 }
 
 void
--- a/src/workflow/dispatcher_place.c
+++ b/src/workflow/dispatcher_place.c
@@ -7,12 +7,13 @@
 #include "waiting_order.h"
 
 /* With half of a pool free no job may wait with nothing running; with margin.  */
-#define MOSTLY_FREE 0.6
-#define STARVED_MS 1500       /* of the 3 s that such a job may wait */
-#define KNOWS_WORKERS_MS 5000 /* of leadership: three heartbeats of every worker */
-#define MAX_NO_ROOM 64        /* images times a few sizes */
-#define MAX_PLACED 64 /* placements of one tick, 3,200 a second: bounds the time of a tick */
-#define MOST_RESERVED_PART 16 /* one in so many workers is kept free for lasting tasks */
+#define MOSTLY_FREE_RATIO 0.6
+#define STARVED_MS 1500          /* of the 3 s that such a job may wait */
+#define WORKER_DISCOVERY_MS 5000 /* of leadership: three heartbeats of every worker */
+#define MAX_UNPLACEABLE 64       /* images times a few sizes */
+#define MAX_PLACED_PER_TICK                                                                        \
+  64 /* placements of one tick, 3,200 a second: bounds the time of a tick */
+#define MIN_WORKERS_PER_RESERVED 16 /* one in so many workers is kept free for lasting tasks */
 #define MILLI 1000
 
 struct waiting_task
@@ -28,7 +29,8 @@
   struct worker_candidate *rows;
   size_t count;
   size_t reserved;  /* workers in this tick */
-  bool mostly_free; /* tasks that do not fill declare less than MOSTLY_FREE of the processors */
+  bool mostly_free; /* tasks that do not fill declare less than MOSTLY_FREE_RATIO of the processors
+                     */
   /* Whom the rows' fields USABLE and NEAR_DATA are for; NULL before the first task.  */
   const char *pool;
   const char *label;
@@ -58,7 +60,7 @@
                                        .seen_ms = j->seen_ms,
                                        .objective_ms = objective_ms (j, w->queue),
                                        .remain_ms = (int64_t)((double)j->remain_ms[w->task->step]
-                                                              * (fills ? d->fill_slowness : 1)),
+                                                              * (fills ? d->fill_slowdown : 1)),
                                        .priority = w->queue->priority,
                                        .since_ms = w->task->since_ms,
                                        .ran = w->task->last_run > 0,
@@ -95,7 +97,7 @@
   TAILQ_FOREACH (t, &w->ready, link)
   {
     if (t->job->seen_ms == 0)
-      dispatch_see_job (d, t->job);
+      dispatch_register_job (d, t->job);
     if (t->placing || d->now_ms < t->done_until_ms || d->now_ms < t->retry_ms
         || !is_due (t, wall_ms))
       continue;
@@ -123,7 +125,7 @@
 }
 
 static void
-fill_row (const struct dispatch_worker *w, struct worker_candidate *row)
+update_row (const struct dispatch_worker *w, struct worker_candidate *row)
 {
   uint32_t memory = w->used_memory_mb < w->memory_mb ? w->memory_mb - w->used_memory_mb : 0;
   uint32_t accelerators
@@ -134,7 +136,7 @@
   row->fill_millicores = w->fill_millicores;
   row->free_memory_mb = memory;
   row->free_accelerators = accelerators;
-  row->tail = w->pacing.percent < PACING_FULL ? 1.0 : w->pacing.worst;
+  row->tail_ratio = w->pacing.percent < PACING_FULL_PERCENT ? 1.0 : w->pacing.worst_tail;
 }
 
 static bool
@@ -154,12 +156,12 @@
   {
     if (!dispatch_usable (d, w))
       continue;
-    fill_row (w, &c->rows[c->count]);
+    update_row (w, &c->rows[c->count]);
     declared += w->lasting_millicores + w->short_millicores;
     total += w->millicores;
     c->workers[c->count++] = w;
   }
-  c->mostly_free = (double)declared < MOSTLY_FREE * (double)total;
+  c->mostly_free = (double)declared < MOSTLY_FREE_RATIO * (double)total;
   return c->count > 0;
 }
 
@@ -183,7 +185,7 @@
 }
 
 static double
-foreign_part (const struct dispatch_worker *w, const char *image)
+foreign_share (const struct dispatch_worker *w, const char *image)
 {
   const struct dispatch_run *r;
   uint32_t foreign = 0;
@@ -204,7 +206,7 @@
 
 /* Most tasks that follow each other ask for the same.  */
 static void
-mark_usable (struct candidates *c, const char *pool, const workflow_step *s)
+update_eligibility (struct candidates *c, const char *pool, const workflow_step *s)
 {
   if (is_same (c->pool, pool) && is_same (c->label, s->required_label)
       && is_same (c->rack, s->data_rack))
@@ -226,7 +228,7 @@
 static void
 reserve (struct candidates *c, const struct worker_request *q)
 {
-  if (c->reserved > c->count / MOST_RESERVED_PART)
+  if (c->reserved > c->count / MIN_WORKERS_PER_RESERVED)
     return;
   size_t row = worker_select_reserve (c->rows, c->count, q);
   if (row == WORKER_SELECT_NONE)
@@ -247,26 +249,26 @@
           .accelerators = s->accelerators,
           .max_per_worker = s->max_per_worker,
           .fills = s->flags & WORKFLOW_STEP_FILL,
-          .despite_harm = c->mostly_free && t->task->job->runs == 0
-                          && d->now_ms - t->task->job->seen_ms > STARVED_MS,
+          .allow_interference = c->mostly_free && t->task->job->runs == 0
+                                && d->now_ms - t->task->job->seen_ms > STARVED_MS,
           .lasts = s->flags & WORKFLOW_STEP_LASTING,
           .restarts = t->key.rank == WAITING_RESTART };
-  int image = dispatch_image (d, s);
-  mark_usable (c, t->queue->pool, s);
+  int image = dispatch_image_id (d, s);
+  update_eligibility (c, t->queue->pool, s);
   for (size_t i = 0; i < c->count; i++)
     {
       const struct dispatch_worker *w = c->workers[i];
       struct worker_candidate *row = &c->rows[i];
-      row->harm = 0;
-      row->foreign = 0;
+      row->interference = 0;
+      row->foreign_share = 0;
       row->same_step = 0;
       bool reserves = q.restarts && q.max_per_worker > 0;
       if (!reserves && !worker_select_fits (row, &q))
         continue;
       if (q.lasts)
-        row->foreign = foreign_part (w, s->image);
+        row->foreign_share = foreign_share (w, s->image);
       if (q.fills)
-        row->harm = dispatch_harm_after (d, w, image, s->millicores);
+        row->interference = dispatch_predict_interference (d, w, image, s->millicores);
       if (s->max_per_worker > 0)
         row->same_step = count_same_step (w, t->task);
     }
@@ -282,32 +284,32 @@
   workflow_command c = { .kind = WORKFLOW_PLACE };
   struct dispatch_run *r = dispatch_add_run (d, w, t, t->last_run + 1);
   t->placing = r;
-  dispatch_count_start (d, t->job);
+  dispatch_record_start (d, t->job);
   c.workflow_command_u.place
       = (workflow_place){ .task = workflow_ref (t), .run = r->number, .worker = w->id };
   log_event (LOG_INFO, "placed",
              "job=%016" PRIx64 " step=%u task=%u run=%u worker=%s waited_ms=%" PRId64
              " lasting=%u short=%u fill=%u tail=%.2f heard_ms_ago=%" PRId64,
              t->job->spec.id, t->step, t->index, r->number, w->id, d->now_ms - t->job->seen_ms,
-             w->lasting_millicores, w->short_millicores, w->fill_millicores, w->pacing.worst,
-             d->now_ms - w->heard_ms);
-  r->token = dispatch_send (d, &c);
+             w->lasting_millicores, w->short_millicores, w->fill_millicores, w->pacing.worst_tail,
+             d->now_ms - w->last_answer_ms);
+  r->token = dispatch_propose (d, &c);
 }
 
 /* Demands that found no room in this tick.  Load pattern: thousands of waiting tasks of a few
    images, beside hundreds of workers; looking at every worker for each of them takes longer than a
    tick.  */
-struct no_room
+struct unplaceable
 {
   const struct waiting_task *last; /* that found none, also by comparison; NULL before any */
-  const struct waiting_task *tasks[MAX_NO_ROOM];
+  const struct waiting_task *tasks[MAX_UNPLACEABLE];
   size_t count;
   bool mostly_free; /* a job with nothing running is looked at by itself */
 };
 
 /* A task finds no room where one of the same image that needs no more has found none.  */
 static bool
-needs_no_less (const struct waiting_task *a, const struct waiting_task *b, bool mostly_free)
+needs_at_least (const struct waiting_task *a, const struct waiting_task *b, bool mostly_free)
 {
   const workflow_step *x = workflow_step_of (a->task);
   const workflow_step *y = workflow_step_of (b->task);
@@ -322,7 +324,7 @@
 }
 
 static bool
-found_no_room (const struct no_room *n, const struct waiting_task *w)
+is_unplaceable (const struct unplaceable *n, const struct waiting_task *w)
 {
   /* Each of them has a worker reserved.  */
   if (w->key.rank == WAITING_RESTART)
@@ -330,13 +332,13 @@
   if (n->last && is_same_step (n->last->task, w->task))
     return true;
   for (size_t i = n->count; i > 0; i--)
-    if (needs_no_less (w, n->tasks[i - 1], n->mostly_free))
+    if (needs_at_least (w, n->tasks[i - 1], n->mostly_free))
       return true;
   return false;
 }
 
 static void
-note_waiting (struct dispatcher *d, const struct waiting_task *w)
+count_waiting_fill (struct dispatcher *d, const struct waiting_task *w)
 {
   const workflow_step *s = workflow_step_of (w->task);
   if (s->flags & WORKFLOW_STEP_FILL)
@@ -350,31 +352,31 @@
   struct candidates c;
   size_t n = list_waiting (d, wall_ms, &waiting);
   size_t placed = 0;
-  struct no_room no_room = { .count = 0 };
+  struct unplaceable unplaceable = { .count = 0 };
   d->waiting = (uint32_t)n;
   d->waiting_fill = 0;
-  bool some = n > 0 && list_candidates (d, &c);
-  no_room.mostly_free = some && c.mostly_free;
-  if (some)
-    for (size_t i = 0; i < n && placed < MAX_PLACED; i++)
+  bool has_candidates = n > 0 && list_candidates (d, &c);
+  unplaceable.mostly_free = has_candidates && c.mostly_free;
+  if (has_candidates)
+    for (size_t i = 0; i < n && placed < MAX_PLACED_PER_TICK; i++)
       {
-        if (found_no_room (&no_room, &waiting[i]))
+        if (is_unplaceable (&unplaceable, &waiting[i]))
           {
-            no_room.last = &waiting[i];
-            note_waiting (d, &waiting[i]);
+            unplaceable.last = &waiting[i];
+            count_waiting_fill (d, &waiting[i]);
             continue;
           }
         size_t row = choose (d, &c, &waiting[i]);
         if (row == WORKER_SELECT_NONE)
           {
-            no_room.last = &waiting[i];
-            if (no_room.count < MAX_NO_ROOM)
-              no_room.tasks[no_room.count++] = &waiting[i];
-            note_waiting (d, &waiting[i]);
+            unplaceable.last = &waiting[i];
+            if (unplaceable.count < MAX_UNPLACEABLE)
+              unplaceable.tasks[unplaceable.count++] = &waiting[i];
+            count_waiting_fill (d, &waiting[i]);
             continue;
           }
         propose_place (d, c.workers[row], waiting[i].task);
-        fill_row (c.workers[row], &c.rows[row]);
+        update_row (c.workers[row], &c.rows[row]);
         placed++;
         d->waiting--;
       }
@@ -398,9 +400,9 @@
                   || workflow_zone_is_out (d->config.workflow, w->zone);
   if (unwanted || unusable || !dispatch_has_authority (d))
     {
-      dispatch_end (d, r, WORKFLOW_NOT_STARTED, NULL,
-                    unwanted ? "the job has ended or the task is done"
-                             : "the worker is no longer usable");
+      dispatch_propose_end (d, r, WORKFLOW_NOT_STARTED, NULL,
+                            unwanted ? "the job has ended or the task is done"
+                                     : "the worker is no longer usable");
       return;
     }
   const struct worker_start order = { .to = dispatch_address (d, w),
@@ -414,7 +416,7 @@
 }
 
 static bool
-could_hold (const struct dispatch_worker *w, const workflow_step *s)
+could_run (const struct dispatch_worker *w, const workflow_step *s)
 {
   return w->millicores >= s->millicores && w->memory_mb >= s->memory_mb
          && w->accelerators >= s->accelerators
@@ -425,7 +427,7 @@
 dispatcher_can_ever_fit (const struct dispatcher *d, const workflow_spec *spec, const char *pool)
 {
   const struct dispatch_worker *w;
-  if (d->now_ms - d->lead_ms < KNOWS_WORKERS_MS)
+  if (d->now_ms - d->lead_ms < WORKER_DISCOVERY_MS)
     return true;
   for (u_int i = 0; i < spec->steps.steps_len; i++)
     {
@@ -435,7 +437,7 @@
       {
         bool counts = w->address && !w->gone && strcmp (w->pool, pool) == 0;
         known += counts;
-        fits = fits || (counts && could_hold (w, &spec->steps.steps_val[i]));
+        fits = fits || (counts && could_run (w, &spec->steps.steps_val[i]));
       }
       if (known > 0 && !fits)
         return false;
--- a/src/workflow/dispatcher_sizes.c
+++ b/src/workflow/dispatcher_sizes.c
@@ -31,34 +31,34 @@
 }
 
 void
-dispatch_see_job (struct dispatcher *d, struct workflow_job *j)
+dispatch_register_job (struct dispatcher *d, struct workflow_job *j)
 {
   struct queue_sizes *q = sizes_of (d, j->spec.queue);
   j->sizes = q;
   j->seen_ms = d->now_ms;
-  j->size = size_share_arrive (&q->share, d->now_ms, declared_work (&j->spec));
+  j->size = size_share_add_arrival (&q->share, d->now_ms, declared_work (&j->spec));
   j->start_counted = workflow_job_started (j);
   if (j->start_counted)
-    size_share_start (&q->share, d->now_ms, j->size);
+    size_share_add_start (&q->share, d->now_ms, j->size);
 }
 
 void
-dispatch_count_start (struct dispatcher *d, struct workflow_job *j)
+dispatch_record_start (struct dispatcher *d, struct workflow_job *j)
 {
   if (j->start_counted)
     return;
   j->start_counted = true;
-  size_share_start (&j->sizes->share, d->now_ms, j->size);
+  size_share_add_start (&j->sizes->share, d->now_ms, j->size);
 }
 
 double
 dispatch_size_share (const struct workflow_job *j)
 {
-  return size_share_of (&j->sizes->share, j->size);
+  return size_share_started_ratio (&j->sizes->share, j->size);
 }
 
 void
-dispatch_forget_sizes (struct dispatcher *d)
+dispatch_clear_sizes (struct dispatcher *d)
 {
   struct queue_sizes *q;
   while ((q = SLIST_FIRST (&d->sizes)) != NULL)
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -25,9 +25,9 @@
   w->id = xstrdup (id);
   /* The leader before this one gave leases until it lost its authority, which ended before ours
      began.  */
-  w->lease_over_ms
-      = d->lead_ms + (int64_t)((double)d->config.lease_ms / CLOCK_SLOWEST) + LEASE_MARGIN_MS;
-  w->heard_ms = INT64_MIN / 2;
+  w->inherited_lease_end_ms
+      = d->lead_ms + (int64_t)((double)d->config.lease_ms / MIN_CLOCK_RATE) + LEASE_MARGIN_MS;
+  w->last_answer_ms = INT64_MIN / 2;
   TAILQ_INIT (&w->runs);
   STAILQ_INIT (&w->ends);
   pacing_init (&w->pacing);
@@ -37,7 +37,7 @@
 }
 
 static void
-drop_ends (struct dispatch_worker *w)
+free_ends (struct dispatch_worker *w)
 {
   struct listed_end *e;
   while ((e = STAILQ_FIRST (&w->ends)) != NULL)
@@ -48,7 +48,7 @@
 }
 
 static void
-drop_labels (struct dispatch_worker *w)
+free_labels (struct dispatch_worker *w)
 {
   while (w->label_count > 0)
     free (w->labels[--w->label_count]);
@@ -60,8 +60,8 @@
   struct dispatch_run *r;
   while ((r = TAILQ_FIRST (&w->runs)) != NULL)
     dispatch_free_run (r);
-  drop_ends (w);
-  drop_labels (w);
+  free_ends (w);
+  free_labels (w);
   cell_map_remove (&d->workers, &w->node);
   TAILQ_REMOVE (&d->worker_list, w, link);
   free (w->id);
@@ -73,15 +73,15 @@
 
 /* The worker's clock now, at its slowest.  */
 static int64_t
-least_clock (const struct dispatcher *d, const struct dispatch_worker *w)
+min_worker_clock (const struct dispatcher *d, const struct dispatch_worker *w)
 {
-  return w->clock_ms + (int64_t)((double)(d->now_ms - w->clock_at_ms) * CLOCK_SLOWEST);
+  return w->clock_ms + (int64_t)((double)(d->now_ms - w->clock_at_ms) * MIN_CLOCK_RATE);
 }
 
 void
-dispatch_note_clock (struct dispatcher *d, struct dispatch_worker *w, int64_t clock_ms)
+dispatch_update_clock (struct dispatcher *d, struct dispatch_worker *w, int64_t clock_ms)
 {
-  if (w->clock_known && clock_ms < least_clock (d, w))
+  if (w->clock_known && clock_ms < min_worker_clock (d, w))
     return;
   w->clock_known = true;
   w->clock_ms = clock_ms;
@@ -103,13 +103,13 @@
 static bool
 lease_is_over (const struct dispatcher *d, const struct dispatch_worker *w)
 {
-  if (d->now_ms < w->lease_over_ms)
+  if (d->now_ms < w->inherited_lease_end_ms)
     return false;
-  return !w->clock_known || least_clock (d, w) > w->deadline_ms + LEASE_MARGIN_MS;
+  return !w->clock_known || min_worker_clock (d, w) > w->deadline_ms + LEASE_MARGIN_MS;
 }
 
 void
-dispatch_worker_gone (struct dispatcher *d, struct dispatch_worker *w, const char *why)
+dispatch_mark_gone (struct dispatcher *d, struct dispatch_worker *w, const char *why)
 {
   struct dispatch_run *r;
   if (w->gone)
@@ -119,7 +119,7 @@
   w->gone = true;
   w->gone_ms = d->now_ms;
   TAILQ_FOREACH (r, &w->runs, link)
-  dispatch_end (
+  dispatch_propose_end (
       d, r, r->inherited || r->state == DISPATCH_RUNNING ? WORKFLOW_LAPSED : WORKFLOW_NOT_STARTED,
       NULL, why);
 }
@@ -128,7 +128,7 @@
    fence.  An order to its earlier life that got no answer may still reach the new one, so such runs
    stay uncertain and are settled there.  */
 static void
-begin_life (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms)
+begin_incarnation (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms)
 {
   struct dispatch_run *r;
   log_event (LOG_INFO, "worker-restarted", "worker=%s born=%" PRId64 " before=%" PRId64, w->id,
@@ -139,24 +139,24 @@
   w->deadline_ms = 0;
   w->listed_clock_ms = 0;
   w->fenced = false;
-  w->lease_over_ms
-      = d->now_ms + (int64_t)((double)d->config.lease_ms / CLOCK_SLOWEST) + LEASE_MARGIN_MS;
+  w->inherited_lease_end_ms
+      = d->now_ms + (int64_t)((double)d->config.lease_ms / MIN_CLOCK_RATE) + LEASE_MARGIN_MS;
   w->acknowledged = 0;
   w->hold_now = true;
-  drop_ends (w);
+  free_ends (w);
   pacing_init (&w->pacing);
   TAILQ_FOREACH (r, &w->runs, link)
   if (r->state == DISPATCH_RUNNING)
-    dispatch_end (d, r, WORKFLOW_LAPSED, NULL, "the worker was restarted");
+    dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL, "the worker was restarted");
 }
 
 void
-dispatch_note_life (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms)
+dispatch_update_incarnation (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms)
 {
   if (born_ms <= w->born_ms)
     return;
   if (w->born_ms > 0)
-    begin_life (d, w, born_ms);
+    begin_incarnation (d, w, born_ms);
   else
     w->born_ms = born_ms;
 }
@@ -171,9 +171,9 @@
 }
 
 static void
-take_labels (struct dispatch_worker *w, const struct worker_report *r)
+set_labels (struct dispatch_worker *w, const struct worker_report *r)
 {
-  drop_labels (w);
+  free_labels (w);
   for (size_t i = 0; i < r->labels_len && i < sizeof w->labels / sizeof *w->labels; i++)
     w->labels[w->label_count++] = xstrdup (r->labels[i]);
 }
@@ -191,15 +191,15 @@
     if (r->born_ms < w->born_ms)
       return status_set (st, STATUS_STALE_INCARNATION, "worker %s took the address of %s", w->id,
                          r->id);
-    dispatch_worker_gone (d, w, "a younger worker has its address");
+    dispatch_mark_gone (d, w, "a younger worker has its address");
   }
   return 0;
 }
 
 /* The report is not newer than what is known: its sender's life or an earlier report of it.  */
 static int
-check_age (struct dispatcher *d, const struct dispatch_worker *w, const struct worker_report *r,
-           struct status *st)
+check_report_age (struct dispatcher *d, const struct dispatch_worker *w,
+                  const struct worker_report *r, struct status *st)
 {
   if (r->born_ms < w->born_ms || (w->gone && r->born_ms == w->born_ms))
     return status_set (st, STATUS_STALE_INCARNATION, "that life of worker %s is over", r->id);
@@ -208,9 +208,9 @@
   if (w->reported && r->sequence <= w->sequence)
     return status_set (st, STATUS_STALE_EPOCH, "report %llu of worker %s came after report %llu",
                        (unsigned long long)r->sequence, r->id, (unsigned long long)w->sequence);
-  if (w->clock_known && r->clock_ms < least_clock (d, w) - CLOCK_SKEW_MS)
+  if (w->clock_known && r->clock_ms < min_worker_clock (d, w) - REPORT_MAX_AGE_MS)
     return status_set (st, STATUS_STALE_EPOCH, "report of worker %s is over %d ms old", r->id,
-                       CLOCK_SKEW_MS);
+                       REPORT_MAX_AGE_MS);
   return 0;
 }
 
@@ -222,13 +222,13 @@
   if (!d->leading)
     return status_set (st, STATUS_NOT_LEADER, "this VM does not lead");
   struct dispatch_worker *w = dispatch_find_worker (d, r->id);
-  if (w && check_age (d, w, r, st) < 0)
+  if (w && check_report_age (d, w, r, st) < 0)
     return -1;
   if (check_address (d, r, st) < 0)
     return -1;
   if (!w)
     w = dispatch_add_worker (d, r->id);
-  dispatch_note_life (d, w, r->born_ms);
+  dispatch_update_incarnation (d, w, r->born_ms);
   if (!w->address || w->draining != r->draining)
     log_event (LOG_INFO, "worker-reported",
                "worker=%s address=%s data_centre=%s pool=%s draining=%d sequence=%" PRIu64, r->id,
@@ -236,7 +236,7 @@
   set_text (&w->address, r->address);
   set_text (&w->zone, r->zone);
   set_text (&w->pool, r->pool);
-  take_labels (w, r);
+  set_labels (w, r);
   w->gone = false;
   w->reported = true;
   w->draining = r->draining;
@@ -244,7 +244,7 @@
   w->millicores = r->millicores;
   w->memory_mb = r->memory_mb;
   w->accelerators = r->accelerators;
-  dispatch_note_clock (d, w, r->clock_ms);
+  dispatch_update_clock (d, w, r->clock_ms);
   return 0;
 }
 
@@ -254,14 +254,14 @@
   struct dispatch_worker *w = dispatch_find_worker (d, worker);
   d->now_ms = now_ms;
   if (w)
-    dispatch_worker_gone (d, w, "it left");
+    dispatch_mark_gone (d, w, "it left");
 }
 
 bool
 dispatch_usable (const struct dispatcher *d, const struct dispatch_worker *w)
 {
   return w->address && w->reported && w->fenced && !w->draining && !w->gone
-         && d->now_ms - w->heard_ms < SILENT_MS && d->now_ms >= w->no_room_until_ms
+         && d->now_ms - w->last_answer_ms < WORKER_SILENT_MS && d->now_ms >= w->no_room_until_ms
          && d->now_ms >= w->avoid_until_ms && !workflow_zone_is_out (d->config.workflow, w->zone);
 }
 
@@ -284,7 +284,7 @@
 send_hold (struct dispatcher *d, struct dispatch_worker *w)
 {
   /* A worker that can't answer may still hear: its lease is renewed only while it answers.  */
-  bool answers = d->now_ms - w->heard_ms < RENEW_SILENT_MS;
+  bool answers = d->now_ms - w->last_answer_ms < RENEW_MAX_SILENCE_MS;
   const struct worker_hold order = { .to = dispatch_address (d, w),
                                      .mark = ++d->mark,
                                      .acknowledged = w->acknowledged,
@@ -301,18 +301,19 @@
   struct dispatch_run *r;
   TAILQ_FOREACH (r, &w->runs, link)
   {
-    bool late
-        = r->state == DISPATCH_UNCERTAIN && d->now_ms - r->sent_ms < LATE_ORDER_MS && !r->inherited;
+    bool late = r->state == DISPATCH_UNCERTAIN && d->now_ms - r->sent_ms < ORDER_MAX_DELAY_MS
+                && !r->inherited;
     if ((r->state != DISPATCH_RUNNING && r->state != DISPATCH_UNCERTAIN) || late)
       continue;
-    dispatch_end (d, r, WORKFLOW_LAPSED, NULL, "the worker is silent and its lease is over");
+    dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL,
+                          "the worker is silent and its lease is over");
   }
 }
 
 /* Load pattern: a new leader finds hundreds of workers with long lists.  Asked all at once, their
    answers keep it from the voters until these elect the next leader, which meets the same.  */
 static bool
-may_look (struct dispatcher *d, const struct dispatch_worker *w)
+may_send_hold (struct dispatcher *d, const struct dispatch_worker *w)
 {
   if (w->fenced)
     return true;
@@ -328,11 +329,11 @@
   bool idle = TAILQ_EMPTY (&w->runs);
   if (w->gone)
     {
-      if (idle && w->holds == 0 && d->now_ms - w->gone_ms > FORGET_WORKER_MS)
+      if (idle && w->holds == 0 && d->now_ms - w->gone_ms > GONE_RETENTION_MS)
         dispatch_free_worker (d, w);
       return;
     }
-  if (d->now_ms - w->heard_ms >= SILENT_MS && !idle && lease_is_over (d, w))
+  if (d->now_ms - w->last_answer_ms >= WORKER_SILENT_MS && !idle && lease_is_over (d, w))
     lapse_runs (d, w);
   if (!w->address)
     {
@@ -342,7 +343,7 @@
     }
   bool probe = w->hold_now && w->holds == 1;
   bool due = w->holds == 0 && (w->hold_now || d->now_ms >= w->hold_next_ms);
-  if ((probe || due) && may_look (d, w))
+  if ((probe || due) && may_send_hold (d, w))
     send_hold (d, w);
 }
 
--- a/src/workflow/pacing.c
+++ b/src/workflow/pacing.c
@@ -1,35 +1,36 @@
 #include "pacing.h"
 
-#define CUT_HARD 1.5 /* over the target by this much: stop at once */
+#define QUARTER_TAIL_RATIO 1.5 /* over the target by this much: stop at once */
 
 void
 pacing_init (struct pacing *p)
 {
-  *p = (struct pacing){ .percent = PACING_FULL };
+  *p = (struct pacing){ .percent = PACING_FULL_PERCENT };
 }
 
 static uint32_t
-cut (uint32_t percent, double worst)
+cut (uint32_t percent, double worst_tail)
 {
-  uint32_t next = worst > CUT_HARD ? percent / 4 : percent / 2;
-  return next < PACING_FLOOR ? 0 : next;
+  uint32_t next = worst_tail > QUARTER_TAIL_RATIO ? percent / 4 : percent / 2;
+  return next < PACING_MIN_PERCENT ? 0 : next;
 }
 
 static uint32_t
 grow (uint32_t percent)
 {
-  return percent + PACING_STEP > PACING_FULL ? PACING_FULL : percent + PACING_STEP;
+  return percent + PACING_STEP_PERCENT > PACING_FULL_PERCENT ? PACING_FULL_PERCENT
+                                                             : percent + PACING_STEP_PERCENT;
 }
 
 bool
-pacing_sample (struct pacing *p, int64_t now_ms, double worst)
+pacing_add_sample (struct pacing *p, int64_t now_ms, double worst_tail)
 {
   uint32_t next = p->percent;
   int64_t age_ms = now_ms - p->changed_ms;
-  p->worst = worst;
-  if (worst > PACING_HIGH && age_ms >= PACING_CUT_MS)
-    next = cut (p->percent, worst);
-  else if (worst < PACING_LOW && age_ms >= PACING_GROW_MS)
+  p->worst_tail = worst_tail;
+  if (worst_tail > PACING_CUT_TAIL_RATIO && age_ms >= PACING_CUT_INTERVAL_MS)
+    next = cut (p->percent, worst_tail);
+  else if (worst_tail < PACING_GROW_TAIL_RATIO && age_ms >= PACING_GROW_INTERVAL_MS)
     next = grow (p->percent);
   if (next == p->percent)
     return false;
--- a/src/workflow/slack_model.c
+++ b/src/workflow/slack_model.c
@@ -7,51 +7,51 @@
 
 #include "buffer.h"
 
-#define NAME_BYTES 257
-#define TERMS (SLACK_MAX_IMAGES + 1) /* the last is the slack alone */
-#define ALONE SLACK_MAX_IMAGES
-#define RIDGE 0.03      /* weight of the prior: three samples at a share of a tenth */
-#define ALONE_RIDGE 1.0 /* one sample */
-#define ALONE_PRIOR 2.0 /* half of the target */
-#define DECAY 0.97      /* per fit: samples count for about 2,000 more of them */
-#define SOLVE_EVERY 64  /* samples */
+#define IMAGE_NAME_BYTES 257
+#define MAX_TERMS (SLACK_MAX_IMAGES + 1) /* the last is the slack alone */
+#define ALONE_TERM SLACK_MAX_IMAGES
+#define COEFFICIENT_RIDGE 0.03 /* weight of the prior: three samples at a share of a tenth */
+#define ALONE_RIDGE 1.0        /* one sample */
+#define ALONE_PRIOR 2.0        /* half of the target */
+#define DECAY_PER_FIT 0.97     /* per fit: samples count for about 2,000 more of them */
+#define SAMPLES_PER_FIT 64     /* samples */
 #define MAX_COEFFICIENT 60.0
 #define MAX_SLACK 6.0    /* an idle task's tail; beyond it a sample says nothing more */
 #define LOW_QUANTILE 0.1 /* of the slack alone, when its own load peaks */
 #define LOW_STEP 0.02
-#define LEAST_ALLOWED 0.05 /* some harmless work may always run */
+#define MIN_MAX_LOSS 0.05 /* some harmless work may always run */
 
 struct fit
 {
-  double a[TERMS][TERMS];
-  double b[TERMS];
-  double coefficient[TERMS];
-  double low; /* low quantile of the slack alone */
+  double a[MAX_TERMS][MAX_TERMS];
+  double b[MAX_TERMS];
+  double coefficient[MAX_TERMS];
+  double low_slack; /* low quantile of the slack alone */
   unsigned samples;
 };
 
-struct names
+struct image_table
 {
-  char name[SLACK_MAX_IMAGES][NAME_BYTES];
+  char name[SLACK_MAX_IMAGES][IMAGE_NAME_BYTES];
   int count;
 };
 
 struct slack_model
 {
-  struct names serving;
-  struct names filling;
+  struct image_table serving;
+  struct image_table fill_image;
   struct fit *fits[SLACK_MAX_IMAGES];
 };
 
 static int
-names_id (struct names *n, const char *name)
+find_or_add_image (struct image_table *n, const char *name)
 {
   for (int i = 0; i < n->count; i++)
     if (strcmp (n->name[i], name) == 0)
       return i;
   if (n->count == SLACK_MAX_IMAGES)
     return SLACK_MAX_IMAGES - 1;
-  snprintf (n->name[n->count], NAME_BYTES, "%s", name);
+  snprintf (n->name[n->count], IMAGE_NAME_BYTES, "%s", name);
   return n->count++;
 }
 
@@ -61,8 +61,8 @@
   struct fit *f = xcalloc (1, sizeof *f);
   for (int i = 0; i < SLACK_MAX_IMAGES; i++)
     f->coefficient[i] = SLACK_LOSS_PRIOR;
-  f->coefficient[ALONE] = ALONE_PRIOR;
-  f->low = ALONE_PRIOR;
+  f->coefficient[ALONE_TERM] = ALONE_PRIOR;
+  f->low_slack = ALONE_PRIOR;
   return f;
 }
 
@@ -83,7 +83,7 @@
 int
 slack_model_serving_id (struct slack_model *m, const char *image)
 {
-  int id = names_id (&m->serving, image);
+  int id = find_or_add_image (&m->serving, image);
   if (!m->fits[id])
     m->fits[id] = new_fit ();
   return id;
@@ -92,18 +92,18 @@
 int
 slack_model_fill_id (struct slack_model *m, const char *image)
 {
-  return names_id (&m->filling, image);
+  return find_or_add_image (&m->fill_image, image);
 }
 
 /* Solves (A + ridge) x = B + ridge x prior by elimination with pivots.  */
 static void
-solve (const struct fit *f, int terms[TERMS], int n, double x[TERMS])
+solve (const struct fit *f, int terms[MAX_TERMS], int n, double x[MAX_TERMS])
 {
-  double m[TERMS][TERMS + 1];
+  double m[MAX_TERMS][MAX_TERMS + 1];
   for (int i = 0; i < n; i++)
     {
-      bool alone = terms[i] == ALONE;
-      double ridge = alone ? ALONE_RIDGE : RIDGE;
+      bool alone = terms[i] == ALONE_TERM;
+      double ridge = alone ? ALONE_RIDGE : COEFFICIENT_RIDGE;
       for (int k = 0; k < n; k++)
         m[i][k] = f->a[terms[i]][terms[k]] + (i == k ? ridge : 0);
       /* The loss counts against the slack: its prior is negative here.  */
@@ -133,29 +133,29 @@
 }
 
 static void
-update (struct fit *f, int fillings)
+update_coefficients (struct fit *f, int fill_images)
 {
-  int terms[TERMS];
-  double x[TERMS];
+  int terms[MAX_TERMS];
+  double x[MAX_TERMS];
   int n = 0;
-  for (int i = 0; i < fillings; i++)
+  for (int i = 0; i < fill_images; i++)
     terms[n++] = i;
-  terms[n++] = ALONE;
+  terms[n++] = ALONE_TERM;
   solve (f, terms, n, x);
-  for (int i = 0; i < fillings; i++)
+  for (int i = 0; i < fill_images; i++)
     f->coefficient[i] = fmin (fmax (-x[i], 0), MAX_COEFFICIENT);
-  f->coefficient[ALONE] = x[ALONE];
+  f->coefficient[ALONE_TERM] = x[ALONE_TERM];
 }
 
-/* Older samples count less, once for SOLVE_EVERY new ones.  */
+/* Older samples count less, once for SAMPLES_PER_FIT new ones.  */
 static void
 decay (struct fit *f)
 {
-  for (int i = 0; i < TERMS; i++)
+  for (int i = 0; i < MAX_TERMS; i++)
     {
-      f->b[i] *= DECAY;
-      for (int k = 0; k < TERMS; k++)
-        f->a[i][k] *= DECAY;
+      f->b[i] *= DECAY_PER_FIT;
+      for (int k = 0; k < MAX_TERMS; k++)
+        f->a[i][k] *= DECAY_PER_FIT;
     }
 }
 
@@ -164,31 +164,31 @@
                         size_t count, double slack)
 {
   struct fit *f = m->fits[serving];
-  double x[TERMS] = { 0 };
+  double x[MAX_TERMS] = { 0 };
   double seen = fmin (slack, MAX_SLACK);
   for (size_t i = 0; i < count; i++)
-    x[mix[i].filling] += mix[i].share;
-  x[ALONE] = 1;
+    x[mix[i].fill_image] += mix[i].share;
+  x[ALONE_TERM] = 1;
   double alone = seen + slack_model_loss (m, serving, mix, count);
-  f->low += alone < f->low ? -LOW_STEP * (1 - LOW_QUANTILE) : LOW_STEP * LOW_QUANTILE;
-  for (int i = 0; i < TERMS; i++)
+  f->low_slack += alone < f->low_slack ? -LOW_STEP * (1 - LOW_QUANTILE) : LOW_STEP * LOW_QUANTILE;
+  for (int i = 0; i < MAX_TERMS; i++)
     {
       if (x[i] == 0)
         continue;
       f->b[i] += x[i] * seen;
-      for (int k = 0; k < TERMS; k++)
+      for (int k = 0; k < MAX_TERMS; k++)
         f->a[i][k] += x[i] * x[k];
     }
-  if (++f->samples % SOLVE_EVERY != 0)
+  if (++f->samples % SAMPLES_PER_FIT != 0)
     return;
   decay (f);
-  update (f, m->filling.count);
+  update_coefficients (f, m->fill_image.count);
 }
 
 double
-slack_model_coefficient (const struct slack_model *m, int serving, int filling)
+slack_model_coefficient (const struct slack_model *m, int serving, int fill_image)
 {
-  return m->fits[serving]->coefficient[filling];
+  return m->fits[serving]->coefficient[fill_image];
 }
 
 double
@@ -197,12 +197,12 @@
 {
   double loss = 0;
   for (size_t i = 0; i < count; i++)
-    loss += m->fits[serving]->coefficient[mix[i].filling] * mix[i].share;
+    loss += m->fits[serving]->coefficient[mix[i].fill_image] * mix[i].share;
   return loss;
 }
 
 double
 slack_model_max_loss (const struct slack_model *m, int serving)
 {
-  return fmax (m->fits[serving]->low - SLACK_MIN, LEAST_ALLOWED);
+  return fmax (m->fits[serving]->low_slack - SLACK_MIN, MIN_MAX_LOSS);
 }
--- a/src/workflow/slack_model.h
+++ b/src/workflow/slack_model.h
@@ -34,8 +34,8 @@
 /* What fills on one worker.  */
 struct fill_share
 {
-  int filling;  /* id of the image */
-  double share; /* of the worker's processors */
+  int fill_image; /* id of the image */
+  double share;   /* of the worker's processors */
 };
 
 struct slack_model *slack_model_new (void);
@@ -44,7 +44,7 @@
 int slack_model_fill_id (struct slack_model *m, const char *image);    /* Id, made when new. */
 void slack_model_add_sample (struct slack_model *m, int serving, const struct fill_share *mix,
                              size_t count, double slack); /* One sample. */
-double slack_model_coefficient (const struct slack_model *m, int serving, int filling);
+double slack_model_coefficient (const struct slack_model *m, int serving, int fill_image);
 double slack_model_loss (const struct slack_model *m, int serving, const struct fill_share *mix,
                          size_t count); /* Slack that the mix takes. */
 double slack_model_max_loss (const struct slack_model *m,
--- a/src/workflow/waiting_order.c
+++ b/src/workflow/waiting_order.c
@@ -13,7 +13,7 @@
   else if (f->lasts)
     k.rank = WAITING_LASTING;
   else if (f->now_ms > f->seen_ms + WAITING_LATE_FACTOR * f->objective_ms)
-    k.rank = WAITING_HOPELESS;
+    k.rank = WAITING_EXPIRED;
   else if (f->now_ms > k.latest_start_ms && !(f->fills && f->started))
     k.rank = WAITING_LATE;
   else
--- a/src/workflow/waiting_order.h
+++ b/src/workflow/waiting_order.h
@@ -33,7 +33,7 @@
   WAITING_LASTING,
   WAITING_FILL,
   WAITING_LATE,
-  WAITING_HOPELESS,
+  WAITING_EXPIRED,
 };
 
 /* What is known of a waiting task and its job.  */
--- a/src/workflow/worker_select.c
+++ b/src/workflow/worker_select.c
@@ -2,12 +2,15 @@
 
 #include <math.h>
 
-#define HARM_WEIGHT 2.0 /* a full allowance of harm against a worker without unused processors */
+#define INTERFERENCE_WEIGHT                                                                        \
+  2.0 /* a full allowance of harm against a worker without unused processors */
 #define FOREIGN_PENALTY 1e5 /* above any gap in millicores */
-#define EMPTY_FOREIGN 0.3   /* an empty worker goes before one that serves more of other images */
-#define EMPTY_COST 1.5 /* workers without lasting tasks are for images that disturb all others */
+#define EMPTY_FOREIGN_SHARE                                                                        \
+  0.3 /* an empty worker goes before one that serves more of other images */
+#define EMPTY_WORKER_PENALTY                                                                       \
+  1.5 /* workers without lasting tasks are for images that disturb all others */
 /* Data on another rack doubles the run time: any near worker goes first.  */
-#define FAR_PENALTY 1e6
+#define REMOTE_DATA_PENALTY 1e6
 
 static double
 unused_millicores (const struct worker_candidate *r)
@@ -26,7 +29,7 @@
 worker_select_foreign_share (uint32_t lasting_millicores, uint32_t foreign_millicores)
 {
   if (lasting_millicores == 0)
-    return EMPTY_FOREIGN;
+    return EMPTY_FOREIGN_SHARE;
   return (double)foreign_millicores / lasting_millicores;
 }
 
@@ -41,21 +44,22 @@
     return false;
   if (!q->fills)
     return undeclared_millicores (r) >= q->millicores;
-  bool calm = r->tail <= FILL_MAX_TAIL_RATIO && r->harm <= 1;
-  return (calm || q->despite_harm)
+  bool undisturbed = r->tail_ratio <= FILL_MAX_TAIL_RATIO && r->interference <= 1;
+  return (undisturbed || q->allow_interference)
          && unused_millicores (r) >= FILL_MIN_UNUSED_RATIO * q->millicores;
 }
 
 double
 worker_select_score (const struct worker_candidate *r, const struct worker_request *q)
 {
-  double far = r->near_data ? 0 : FAR_PENALTY;
+  double penalty = r->near_data ? 0 : REMOTE_DATA_PENALTY;
   if (q->fills)
-    return far + HARM_WEIGHT * r->harm + (r->lasting_millicores == 0 ? EMPTY_COST : 0)
+    return penalty + INTERFERENCE_WEIGHT * r->interference
+           + (r->lasting_millicores == 0 ? EMPTY_WORKER_PENALTY : 0)
            - unused_millicores (r) / r->millicores;
   if (q->lasts)
-    far += FOREIGN_PENALTY * r->foreign;
-  return far + undeclared_millicores (r) - q->millicores;
+    penalty += FOREIGN_PENALTY * r->foreign_share;
+  return penalty + undeclared_millicores (r) - q->millicores;
 }
 
 size_t
--- a/src/workflow/worker_select.h
+++ b/src/workflow/worker_select.h
@@ -31,14 +31,14 @@
   uint32_t fill_millicores;    /* wanted by tasks that fill */
   uint32_t free_memory_mb;
   uint32_t free_accelerators;
-  uint32_t same_step; /* tasks of the same step and occurrence there */
-  bool usable;        /* alive, of the pool, with the label, not avoided */
-  bool reserved;      /* its room is kept for a lasting task that must restart */
-  bool near_data;     /* holds the rack that the step's data is on */
-  double tail;        /* largest tail over target; 0 without a sample */
-  double foreign;     /* a lasting task: what the worker serves of other images
-                         (worker_select_foreign_share) */
-  double harm;        /* predicted loss of slack with the task, over what is allowed */
+  uint32_t same_step;   /* tasks of the same step and occurrence there */
+  bool usable;          /* alive, of the pool, with the label, not avoided */
+  bool reserved;        /* its room is kept for a lasting task that must restart */
+  bool near_data;       /* holds the rack that the step's data is on */
+  double tail_ratio;    /* largest tail over target; 0 without a sample */
+  double foreign_share; /* a lasting task: what the worker serves of other images
+                     (worker_select_foreign_share) */
+  double interference;  /* predicted loss of slack with the task, over what is allowed */
 };
 
 struct worker_request
@@ -49,8 +49,9 @@
   uint32_t max_per_worker; /* 0 is no limit */
   bool fills;
   bool lasts;
-  bool restarts;     /* a lasting task that waits for reserved room */
-  bool despite_harm; /* fills: waited long while most of the pool is free; pacing limits the harm */
+  bool restarts;           /* a lasting task that waits for reserved room */
+  bool allow_interference; /* fills: waited long while most of the pool is free; pacing limits the
+                              harm */
 };
 
 double worker_select_foreign_share (
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -85,7 +85,7 @@
 /* A worker that is cut off runs on until its lease is over; holds that it may still hear must not
    renew that lease for ever.  */
 static void
-test_a_silent_worker_lapses_once_and_in_time (void **state)
+test_runs_of_a_silent_worker_lapse_once_and_in_time (void **state)
 {
   struct fixture *f = *state;
   fixture_join (f, "w1", "10.0.0.1:1");
@@ -214,7 +214,7 @@
 /* The end that was listed never gets into the log, and its worker is lost: the task must run again.
  */
 static void
-test_a_late_end_that_is_lost_holds_nothing_up (void **state)
+test_a_lost_late_end_does_not_block_the_task (void **state)
 {
   struct fixture *f = *state;
   lapse_one_run (f);
@@ -271,7 +271,7 @@
 }
 
 static void
-test_a_younger_worker_at_the_address_ends_the_older (void **state)
+test_a_newer_worker_at_the_address_replaces_the_older (void **state)
 {
   struct fixture *f = *state;
   struct status st;
@@ -386,7 +386,7 @@
 
 /* A task that the worker runs although nobody placed it is a late order: it is stopped.  */
 static void
-test_a_stranger_is_stopped (void **state)
+test_unknown_run_is_stopped (void **state)
 {
   struct fixture *f = *state;
   fixture_join (f, "w1", "10.0.0.1:1");
@@ -537,13 +537,14 @@
 #define TEST(name) cmocka_unit_test_setup_teardown (name, fixture_open, fixture_close)
 
 #define MANY_WORKERS 350
-#define MOST_LOOKS_PER_S                                                                           \
-  2000 /* what the leader of the grown deployments can do beside its starts */
+#define MAX_HOLDS_PER_S                                                                            \
+  2000 /* what the leader of the grown deployments can do beside its starts                        \
+        */
 
 /* With several ends a second on each of many workers, every look is answered at once: the looks
    alone must not take the leader's processor.  */
 static void
-test_looks_at_many_workers_are_bounded (void **state)
+test_hold_rate_with_many_workers_is_bounded (void **state)
 {
   struct fixture *f = *state;
   char id[16];
@@ -572,7 +573,7 @@
         }
     }
   assert_true (f->hold_count - before >= MANY_WORKERS);
-  if (f->hold_count - before > MOST_LOOKS_PER_S)
+  if (f->hold_count - before > MAX_HOLDS_PER_S)
     fail_msg ("%zu looks in a second", f->hold_count - before);
 }
 
@@ -602,7 +603,7 @@
 }
 
 static size_t
-looks_in_50_ticks (struct fixture *f, int64_t tick_ms)
+holds_in_50_ticks (struct fixture *f, int64_t tick_ms)
 {
   size_t before = f->hold_count;
   for (int i = 0; i < 50; i++)
@@ -617,17 +618,17 @@
 
 /* A leader without time makes its own load: each look that it sends brings an answer to read.  */
 static void
-test_looks_are_rarer_while_ticks_come_late (void **state)
+test_holds_are_rarer_while_ticks_are_late (void **state)
 {
   struct fixture *f = *state;
   fixture_join (f, "w1", "10.0.0.1:1");
   fixture_tick (f, 100);
   fixture_answer_hold (f, "w1", NULL, 0, NULL, 0);
-  assert_true (looks_in_50_ticks (f, 20) >= 20);
-  looks_in_50_ticks (f, 220);
-  assert_true (looks_in_50_ticks (f, 220) <= 25);
-  looks_in_50_ticks (f, 20);
-  assert_true (looks_in_50_ticks (f, 20) >= 20);
+  assert_true (holds_in_50_ticks (f, 20) >= 20);
+  holds_in_50_ticks (f, 220);
+  assert_true (holds_in_50_ticks (f, 220) <= 25);
+  holds_in_50_ticks (f, 20);
+  assert_true (holds_in_50_ticks (f, 20) >= 20);
 }
 
 int
@@ -635,25 +636,25 @@
 {
   const struct CMUnitTest tests[]
       = { TEST (test_ends_are_acknowledged_after_their_commit),
-          TEST (test_looks_at_many_workers_are_bounded),
-          TEST (test_looks_are_rarer_while_ticks_come_late),
+          TEST (test_hold_rate_with_many_workers_is_bounded),
+          TEST (test_holds_are_rarer_while_ticks_are_late),
           TEST (test_a_new_leader_asks_few_workers_at_a_time),
           TEST (test_an_unanswered_start_is_settled_before_the_next),
           TEST (test_an_unanswered_start_that_is_listed_runs_on),
-          TEST (test_a_silent_worker_lapses_once_and_in_time),
+          TEST (test_runs_of_a_silent_worker_lapse_once_and_in_time),
           TEST (test_a_new_leader_learns_before_it_starts),
           TEST (test_a_new_leader_waits_for_leases_it_did_not_give),
           TEST (test_a_late_done_end_is_taken),
-          TEST (test_a_late_end_that_is_lost_holds_nothing_up),
+          TEST (test_a_lost_late_end_does_not_block_the_task),
           TEST (test_a_late_done_end_stops_the_next_start),
           TEST (test_a_restarted_worker_has_lost_its_runs),
-          TEST (test_a_younger_worker_at_the_address_ends_the_older),
+          TEST (test_a_newer_worker_at_the_address_replaces_the_older),
           TEST (test_a_draining_worker_gets_nothing),
           TEST (test_a_placement_on_a_worker_that_drains_is_not_started),
           TEST (test_a_zone_that_is_out_gets_nothing),
           TEST (test_a_cancelled_job_is_stopped_until_acknowledged),
           TEST (test_without_authority_nothing_is_ordered),
-          TEST (test_a_stranger_is_stopped),
+          TEST (test_unknown_run_is_stopped),
           TEST (test_a_lasting_task_restarts_beside_short_ones),
           TEST (test_a_job_that_fits_nowhere_is_known),
           TEST (test_short_tasks_go_before_lasting_ones),
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -11,18 +11,18 @@
 
 #include "pacing.h"
 
-#define HARM_MS 4000 /* stated bound: over the target for this long on end breaks a promise */
+#define MAX_OVER_MS 4000 /* stated bound: over the target for this long on end breaks a promise */
 
 static double
-tail (double at_s, double share, double harm)
+tail (double at_s, double share, double interference)
 {
   double load = 0.42 * (1 + 0.5 * sin (at_s / 10 * 2 * M_PI));
-  double left = 1 - load - harm * share;
+  double left = 1 - load - interference * share;
   return (left < 0.05 ? 1 / 0.05 : 1 / left) / 4.5;
 }
 
 static void
-replay (double harm, int64_t *longest_ms, double *mean_share)
+replay (double interference, int64_t *longest_ms, double *mean_share)
 {
   struct pacing p;
   double shares[2] = { 1, 1 };
@@ -33,10 +33,10 @@
   for (int i = 0; i < 240; i++)
     {
       double at_s = i * 0.5;
-      double seen = tail (at_s, shares[1], harm);
+      double seen = tail (at_s, shares[1], interference);
       over_ms = seen > 1 ? over_ms + 500 : 0;
       *longest_ms = over_ms > *longest_ms ? over_ms : *longest_ms;
-      pacing_sample (&p, i * 500, seen);
+      pacing_add_sample (&p, i * 500, seen);
       shares[1] = shares[0];
       shares[0] = p.percent / 100.0;
       *mean_share += shares[0] / 240;
@@ -44,16 +44,16 @@
 }
 
 static void
-test_harm_ends_in_time (void **state)
+test_slowdown_ends_in_time (void **state)
 {
   (void)state;
   for (int i = 1; i <= 15; i++)
     {
-      double harm = i * 0.2;
+      double interference = i * 0.2;
       int64_t longest_ms;
       double share;
-      replay (harm, &longest_ms, &share);
-      assert_true (longest_ms < HARM_MS);
+      replay (interference, &longest_ms, &share);
+      assert_true (longest_ms < MAX_OVER_MS);
     }
 }
 
@@ -68,24 +68,24 @@
 }
 
 static void
-test_work_comes_back_after_harm (void **state)
+test_share_recovers_after_interference (void **state)
 {
   struct pacing p;
   (void)state;
   pacing_init (&p);
   for (int64_t ms = 1000; ms < 6000; ms += 500)
-    pacing_sample (&p, ms, 3.0);
+    pacing_add_sample (&p, ms, 3.0);
   assert_int_equal (p.percent, 0);
   for (int64_t ms = 6000; ms < 10000; ms += 500)
-    pacing_sample (&p, ms, 0.4);
-  assert_int_equal (p.percent, PACING_FULL);
+    pacing_add_sample (&p, ms, 0.4);
+  assert_int_equal (p.percent, PACING_FULL_PERCENT);
 }
 
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_harm_ends_in_time),
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_slowdown_ends_in_time),
                                       cmocka_unit_test (test_harmless_work_is_not_held_back),
-                                      cmocka_unit_test (test_work_comes_back_after_harm) };
+                                      cmocka_unit_test (test_share_recovers_after_interference) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_size_share.c
+++ b/tests/test_size_share.c
@@ -29,9 +29,9 @@
         want = SIZE_LARGEST_TENTH;
       else if (work > 70)
         want = SIZE_NEXT_FIFTH;
-      enum size_class class = size_share_arrive (&s, i * STEP_MS, work);
-      counted += i >= SIZE_SHARE_RECENT;
-      right += i >= SIZE_SHARE_RECENT && class == want;
+      enum size_class class = size_share_add_arrival (&s, i * STEP_MS, work);
+      counted += i >= SIZE_SHARE_WINDOW_JOBS;
+      right += i >= SIZE_SHARE_WINDOW_JOBS && class == want;
     }
   assert_true (right >= counted * 9 / 10);
 }
@@ -45,13 +45,13 @@
   size_share_init (&s, 0);
   for (int i = 0; i < 200; i++)
     {
-      enum size_class class = size_share_arrive (&s, i * STEP_MS, 5);
+      enum size_class class = size_share_add_arrival (&s, i * STEP_MS, 5);
       if (i % 2 == 0)
-        size_share_start (&s, i * STEP_MS, class);
+        size_share_add_start (&s, i * STEP_MS, class);
     }
   double share = 0;
   for (int i = 0; i < SIZE_CLASSES; i++)
-    share += size_share_of (&s, (enum size_class)i);
+    share += size_share_started_ratio (&s, (enum size_class)i);
   assert_true (share > 0.4 && share < 0.6);
 }
 
@@ -62,12 +62,12 @@
   struct size_share s;
   (void)state;
   size_share_init (&s, 0);
-  enum size_class class = size_share_arrive (&s, 0, 5);
-  size_share_start (&s, 0, class);
-  assert_true (size_share_of (&s, class) == 1.0);
+  enum size_class class = size_share_add_arrival (&s, 0, 5);
+  size_share_add_start (&s, 0, class);
+  assert_true (size_share_started_ratio (&s, class) == 1.0);
   for (int i = 0; i < 10; i++)
-    size_share_arrive (&s, (int64_t)(4 * SIZE_SHARE_HALF_MS), 5);
-  assert_true (size_share_of (&s, class) < 0.1);
+    size_share_add_arrival (&s, (int64_t)(4 * SIZE_SHARE_HALF_LIFE_MS), 5);
+  assert_true (size_share_started_ratio (&s, class) < 0.1);
 }
 
 int
--- a/tests/test_slack_model.c
+++ b/tests/test_slack_model.c
@@ -35,7 +35,7 @@
 };
 
 static double
-disturbance (const struct replay *r, int worker)
+interference (const struct replay *r, int worker)
 {
   double sum = 0;
   for (int i = 0; i < r->fills[worker]; i++)
@@ -48,7 +48,7 @@
 tail_ms (const struct replay *r, int worker, double at_s)
 {
   double load = 0.42 * (1 + 0.5 * sin (at_s / 10 * 2 * M_PI + r->phase[worker]));
-  double left = 1 - load - disturbance (r, worker);
+  double left = 1 - load - interference (r, worker);
   return left < 0.05 ? BASE_MS / 0.05 : BASE_MS / left;
 }
 
--- a/tests/test_waiting_order.c
+++ b/tests/test_waiting_order.c
@@ -13,9 +13,9 @@
 #include "waiting_order.h"
 
 #define STEP_MS 100
-#define ROOM 160         /* tasks at once */
-#define DAY_MS 60000     /* the last 15 s of arrivals are not counted */
-#define COUNTED_MS 45000 /* jobs that came before */
+#define ROOM 160            /* tasks at once */
+#define SIMULATION_MS 60000 /* the last 15 s of arrivals are not counted */
+#define COUNTED_MS 45000    /* jobs that came before */
 #define MAX_JOBS 1024
 #define MAX_WIDTH 32
 #define STEPS 2
@@ -23,7 +23,7 @@
 /* A job of two steps, as in the played days with most fill-in work: 8 tasks of 2.7 s, spread.  */
 struct job
 {
-  int64_t came_ms;
+  int64_t arrived_ms;
   int64_t ended_ms; /* 0 while it hasn't */
   int width;
   int64_t work_ms; /* of one task */
@@ -34,7 +34,7 @@
   int64_t ends_ms[MAX_WIDTH];
 };
 
-struct day
+struct simulation
 {
   struct job jobs[MAX_JOBS];
   int count;
@@ -74,17 +74,17 @@
 }
 
 static void
-end_tasks (struct day *d, int64_t now_ms)
+end_tasks (struct simulation *sim, int64_t now_ms)
 {
-  for (int i = 0; i < d->count; i++)
+  for (int i = 0; i < sim->count; i++)
     {
-      struct job *j = &d->jobs[i];
+      struct job *j = &sim->jobs[i];
       for (int k = 0; k < j->placed; k++)
         if (j->ends_ms[k] > 0 && j->ends_ms[k] <= now_ms)
           {
             j->ends_ms[k] = 0;
             j->done++;
-            d->running--;
+            sim->running--;
           }
       if (j->ended_ms > 0 || j->done < j->width)
         continue;
@@ -96,88 +96,88 @@
 }
 
 static int
-list_waiting (struct day *d, int64_t now_ms, struct waiting *out)
+list_waiting (struct simulation *sim, int64_t now_ms, struct waiting *out)
 {
   int n = 0;
-  for (int i = 0; i < d->count; i++)
+  for (int i = 0; i < sim->count; i++)
     {
-      struct job *j = &d->jobs[i];
+      struct job *j = &sim->jobs[i];
       if (j->ended_ms > 0 || j->placed == j->width)
         continue;
       const struct waiting_facts f = { .now_ms = now_ms,
-                                       .seen_ms = j->came_ms,
+                                       .seen_ms = j->arrived_ms,
                                        .objective_ms = objective (j),
                                        .remain_ms = (STEPS - j->step) * j->work_ms,
                                        .fills = true,
                                        .started = j->placed > 0 || j->step > 0,
-                                       .share = size_share_of (&d->sizes, j->size) };
+                                       .share = size_share_started_ratio (&sim->sizes, j->size) };
       out[n++] = (struct waiting){ .job = j, .key = waiting_key_of (&f) };
     }
   return n;
 }
 
 static void
-start_tasks (struct day *d, int64_t now_ms, order_fn *order)
+start_tasks (struct simulation *sim, int64_t now_ms, order_fn *order)
 {
   static struct waiting waiting[MAX_JOBS];
-  int n = list_waiting (d, now_ms, waiting);
+  int n = list_waiting (sim, now_ms, waiting);
   qsort (waiting, (size_t)n, sizeof *waiting, order);
   for (int i = 0; i < n; i++)
     {
       struct job *j = waiting[i].job;
-      while (d->running < ROOM && j->placed < j->width)
+      while (sim->running < ROOM && j->placed < j->width)
         {
           if (j->placed == 0 && j->step == 0)
-            size_share_start (&d->sizes, now_ms, j->size);
+            size_share_add_start (&sim->sizes, now_ms, j->size);
           j->ends_ms[j->placed++] = now_ms + j->work_ms;
-          d->running++;
+          sim->running++;
         }
     }
 }
 
 static void
-add_job (struct day *d, struct rng *rng, int64_t now_ms)
+add_job (struct simulation *sim, struct rng *rng, int64_t now_ms)
 {
-  struct job *j = &d->jobs[d->count++];
+  struct job *j = &sim->jobs[sim->count++];
   memset (j, 0, sizeof *j);
-  j->came_ms = now_ms;
+  j->arrived_ms = now_ms;
   j->width = 2 + (int)(rng_next (rng) % 11);
   if (rng_chance (rng, 0.1))
     j->width = 24 + (int)(rng_next (rng) % 8);
   j->work_ms = 1500 + (int64_t)(rng_next (rng) % 2400);
-  j->size = size_share_arrive (&d->sizes, now_ms, (double)j->width * (double)j->work_ms);
+  j->size = size_share_add_arrival (&sim->sizes, now_ms, (double)j->width * (double)j->work_ms);
 }
 
 static void
-play (struct day *d, uint64_t seed, double jobs_per_step, order_fn *order)
+simulate (struct simulation *sim, uint64_t seed, double jobs_per_step, order_fn *order)
 {
   struct rng rng;
   rng_init (&rng, seed);
-  memset (d, 0, sizeof *d);
-  size_share_init (&d->sizes, 0);
-  for (int64_t now_ms = 0; now_ms < DAY_MS; now_ms += STEP_MS)
+  memset (sim, 0, sizeof *sim);
+  size_share_init (&sim->sizes, 0);
+  for (int64_t now_ms = 0; now_ms < SIMULATION_MS; now_ms += STEP_MS)
     {
-      end_tasks (d, now_ms);
-      if (d->count < MAX_JOBS && rng_chance (&rng, jobs_per_step))
-        add_job (d, &rng, now_ms);
-      start_tasks (d, now_ms, order);
+      end_tasks (sim, now_ms);
+      if (sim->count < MAX_JOBS && rng_chance (&rng, jobs_per_step))
+        add_job (sim, &rng, now_ms);
+      start_tasks (sim, now_ms, order);
     }
 }
 
 /* Share of the jobs of LEAST tasks or more a step that ended in time, or at all.  */
 static double
-share (const struct day *d, int least, bool in_time)
+share (const struct simulation *sim, int least, bool in_time)
 {
   int all = 0;
   int served = 0;
-  for (int i = 0; i < d->count; i++)
+  for (int i = 0; i < sim->count; i++)
     {
-      const struct job *j = &d->jobs[i];
-      if (j->came_ms >= COUNTED_MS || j->width < least)
+      const struct job *j = &sim->jobs[i];
+      if (j->arrived_ms >= COUNTED_MS || j->width < least)
         continue;
       int64_t limit_ms = objective (j) * (in_time ? 1 : WAITING_LATE_FACTOR);
       all++;
-      served += j->ended_ms > 0 && j->ended_ms - j->came_ms <= limit_ms;
+      served += j->ended_ms > 0 && j->ended_ms - j->arrived_ms <= limit_ms;
     }
   return all > 0 ? (double)served / all : 0;
 }
@@ -186,15 +186,15 @@
 static void
 test_under_overload_more_jobs_end_in_time (void **state)
 {
-  static struct day baseline;
-  static struct day day;
+  static struct simulation baseline;
+  static struct simulation sim;
   (void)state;
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
-      play (&baseline, seed, 1.0, by_latest_start);
-      play (&day, seed, 1.0, by_waiting_order);
-      if (share (&day, 0, true) < 1.5 * share (&baseline, 0, true))
-        fail_msg ("seed %d: %.2f in time, %.2f by latest start", (int)seed, share (&day, 0, true),
+      simulate (&baseline, seed, 1.0, by_latest_start);
+      simulate (&sim, seed, 1.0, by_waiting_order);
+      if (share (&sim, 0, true) < 1.5 * share (&baseline, 0, true))
+        fail_msg ("seed %d: %.2f in time, %.2f by latest start", (int)seed, share (&sim, 0, true),
                   share (&baseline, 0, true));
     }
 }
@@ -203,14 +203,14 @@
 static void
 test_under_overload_large_jobs_are_served_too (void **state)
 {
-  static struct day day;
+  static struct simulation sim;
   (void)state;
   for (uint64_t seed = 1; seed <= 10; seed++)
     {
-      play (&day, seed, 1.0, by_waiting_order);
-      if (share (&day, 24, false) < 0.5 * share (&day, 0, false))
+      simulate (&sim, seed, 1.0, by_waiting_order);
+      if (share (&sim, 24, false) < 0.5 * share (&sim, 0, false))
         fail_msg ("seed %d: %.2f of the largest tenth, %.2f of all", (int)seed,
-                  share (&day, 24, false), share (&day, 0, false));
+                  share (&sim, 24, false), share (&sim, 0, false));
     }
 }
 
@@ -218,10 +218,10 @@
 static void
 test_without_overload_all_end_in_time (void **state)
 {
-  static struct day day;
+  static struct simulation sim;
   (void)state;
-  play (&day, 1, 0.2, by_waiting_order);
-  assert_true (share (&day, 0, true) == 1.0);
+  simulate (&sim, 1, 0.2, by_waiting_order);
+  assert_true (share (&sim, 0, true) == 1.0);
 }
 
 int
--- a/tests/test_worker_select.c
+++ b/tests/test_worker_select.c
@@ -38,9 +38,9 @@
   struct worker_candidate rows[] = { worker (0, 0), worker (9000, 0), worker (6000, 0) };
   const struct worker_request q = { .millicores = 3000, .memory_mb = 100, .lasts = true };
   (void)state;
-  rows[0].foreign = worker_select_foreign_share (0, 0);
-  rows[1].foreign = worker_select_foreign_share (9000, 9000);
-  rows[2].foreign = worker_select_foreign_share (6000, 0);
+  rows[0].foreign_share = worker_select_foreign_share (0, 0);
+  rows[1].foreign_share = worker_select_foreign_share (9000, 9000);
+  rows[2].foreign_share = worker_select_foreign_share (6000, 0);
   assert_int_equal (worker_select_best (rows, 3, &q), 2);
   rows[2].usable = false;
   assert_int_equal (worker_select_best (rows, 3, &q), 0);
@@ -73,7 +73,7 @@
                                         .memory_mb = 6400,
                                         .lasts = true };
       for (int i = 0; i < WORKERS; i++)
-        rows[i].foreign = worker_select_foreign_share (
+        rows[i].foreign_share = worker_select_foreign_share (
             rows[i].lasting_millicores, rows[i].lasting_millicores - serving[i][image]);
       size_t row = worker_select_best (rows, WORKERS, &q);
       if (row == WORKER_SELECT_NONE)
@@ -91,7 +91,7 @@
 /* Workers that serve several images leave no place where a fill-in image does no harm: at most a
    quarter of the pool may.  */
 static void
-test_the_lasting_tasks_of_a_day_mix_on_few_workers (void **state)
+test_few_workers_mix_lasting_images (void **state)
 {
   (void)state;
   for (uint64_t seed = 1; seed <= 10; seed++)
@@ -115,18 +115,18 @@
 }
 
 static void
-test_fill_goes_where_it_does_no_harm (void **state)
+test_fill_goes_where_it_does_not_interfere (void **state)
 {
   struct worker_candidate rows[] = { worker (4000, 0), worker (12000, 4000), worker (8000, 0) };
   const struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
-  rows[0].harm = 1.2;
-  rows[1].harm = 0.1;
-  rows[2].harm = 0.9;
+  rows[0].interference = 1.2;
+  rows[1].interference = 0.1;
+  rows[2].interference = 0.9;
   assert_int_equal (worker_select_best (rows, 3, &q), 1);
-  rows[1].tail = 0.9;
+  rows[1].tail_ratio = 0.9;
   assert_int_equal (worker_select_best (rows, 3, &q), 2);
-  rows[2].harm = 1.1;
+  rows[2].interference = 1.1;
   assert_int_equal (worker_select_best (rows, 3, &q), WORKER_SELECT_NONE);
 }
 
@@ -138,23 +138,23 @@
   struct worker_candidate rows[] = { worker (0, 0), worker (12000, 0) };
   const struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
-  rows[1].harm = 0.2;
+  rows[1].interference = 0.2;
   assert_int_equal (worker_select_best (rows, 2, &q), 1);
-  rows[1].harm = 1.1;
+  rows[1].interference = 1.1;
   assert_int_equal (worker_select_best (rows, 2, &q), 0);
 }
 
 /* A job whose image disturbs everything must not wait for ever beside free workers.  */
 static void
-test_a_starved_job_runs_despite_harm (void **state)
+test_a_starved_job_runs_despite_interference (void **state)
 {
   struct worker_candidate rows[] = { worker (4000, 0), worker (4000, 0) };
   struct worker_request q = { .millicores = 2000, .memory_mb = 100, .fills = true };
   (void)state;
-  rows[0].harm = 3;
-  rows[1].harm = 2;
+  rows[0].interference = 3;
+  rows[1].interference = 2;
   assert_int_equal (worker_select_best (rows, 2, &q), WORKER_SELECT_NONE);
-  q.despite_harm = true;
+  q.allow_interference = true;
   assert_int_equal (worker_select_best (rows, 2, &q), 1);
 }
 
@@ -202,10 +202,10 @@
       = { cmocka_unit_test (test_small_tasks_take_the_smallest_gap),
           cmocka_unit_test (test_room_is_reserved_for_a_restart),
           cmocka_unit_test (test_lasting_tasks_of_one_image_stay_together),
-          cmocka_unit_test (test_the_lasting_tasks_of_a_day_mix_on_few_workers),
-          cmocka_unit_test (test_fill_goes_where_it_does_no_harm),
+          cmocka_unit_test (test_few_workers_mix_lasting_images),
+          cmocka_unit_test (test_fill_goes_where_it_does_not_interfere),
           cmocka_unit_test (test_harmless_fill_leaves_the_empty_workers),
-          cmocka_unit_test (test_a_starved_job_runs_despite_harm),
+          cmocka_unit_test (test_a_starved_job_runs_despite_interference),
           cmocka_unit_test (test_limits_hold) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
