--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -1,4 +1,4 @@
-/* Leadership, proposals, observers and the tick of the dispatcher.  */
+/* Leadership, proposals, workflow observer and tick of the dispatcher.  */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,9 +6,9 @@
 #include "dispatcher_internal.h"
 
 #define PRUNE_BATCH 256
-#define PACE_ALL_BELOW_PERCENT 13 /* percent: three cuts in a row */
-#define SLOWDOWN_SMOOTHING 0.02   /* the last 50 runs count */
-#define MAX_SLOWDOWN 5.0          /* one stuck run must not shift the mean far */
+#define PACE_ALL_BELOW_PERCENT 13 /* reached by three cuts in a row */
+#define SLOWDOWN_SMOOTHING 0.02   /* averages over about 50 runs */
+#define MAX_SLOWDOWN 5.0          /* limits the weight of one stuck run */
 #define LOAD_LOG_PERIOD_MS 1000
 
 bool
@@ -99,7 +99,7 @@
 
 void
 dispatch_propose_end (struct dispatcher *d, struct dispatch_run *r, enum workflow_outcome outcome,
-                      const char *checkpoint, const char *why)
+                      const char *checkpoint, const char *reason)
 {
   static char empty[] = "";
   if (r->state == DISPATCH_ENDING || r->state == DISPATCH_PLACING)
@@ -114,7 +114,7 @@
   log_event (LOG_INFO, "run-ended",
              "job=%016" PRIx64 " step=%u task=%u run=%u worker=%s outcome=%s reason=\"%s\"",
              r->task->job->spec.id, r->task->step, r->task->index, r->number, r->worker->id,
-             outcome_name (outcome), why);
+             outcome_name (outcome), reason);
   r->state = DISPATCH_ENDING;
   r->token = dispatch_propose (d, &c);
 }
@@ -158,7 +158,7 @@
              w->failures, pause_ms);
 }
 
-/* Run times are known for whole runs only: a checkpoint or a change of leader cuts them.  */
+/* A checkpoint or a change of leader hides a part of the run time: only whole runs count.  */
 static void
 update_slowdown (struct dispatcher *d, const struct dispatch_run *r)
 {
@@ -307,8 +307,8 @@
   d->authority_until_ms = until_ms;
 }
 
-/* A refused placement leaves its task waiting; a refused end is proposed again when the worker
-   lists it again, or by the proof that led to it.  */
+/* After a rejected placement the task keeps waiting; a rejected end is proposed again when the
+   worker lists it again, or when its proof is found again.  */
 void
 dispatcher_proposed (struct dispatcher *d, int64_t now_ms, uint64_t token, bool applied)
 {
@@ -345,8 +345,8 @@
   d->config.link->ops->stop (d->config.link, &order);
 }
 
-/* Only what harms is held back, and all of it once the share has fallen low: the model may be
- * wrong.  */
+/* Paces only images that interfere, but all fill-in tasks once the share is low: the model may be
+   wrong.  */
 static uint32_t
 target_pace (struct dispatcher *d, const struct dispatch_run *r)
 {
@@ -405,7 +405,7 @@
   d->prune_token = dispatch_propose (d, &c);
 }
 
-/* One line a second on how full the pool is, and how far fill-in tasks are held back.  */
+/* Logs the load of the pool and the pacing of fill-in tasks once a second.  */
 static void
 log_load (struct dispatcher *d)
 {
@@ -444,7 +444,7 @@
   return (unsigned)(due < MAX_FIRST_HOLDS ? due : MAX_FIRST_HOLDS);
 }
 
-/* A loop that has more to do than time runs its ticks late.  */
+/* An overloaded event loop runs its ticks late.  */
 static void
 update_tick_lag (struct dispatcher *d)
 {
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -1,4 +1,4 @@
-/* What became of orders.  */
+/* Answers to orders.  */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -24,8 +24,7 @@
   r->settled_mark = ++d->mark;
 }
 
-/* Nothing is known of the order: the next hold tells, and no stop is needed when it lists the run.
- */
+/* The order's outcome is unknown: the next hold shows it, and a run that it lists needs no stop. */
 static void
 mark_uncertain (struct dispatcher *d, struct dispatch_run *r)
 {
@@ -123,7 +122,7 @@
   d->config.link->ops->stop (d->config.link, &order);
 }
 
-/* True when the last tail of a lasting task is over TARGET; notes the worst of the worker.  */
+/* Stores the measure; for a lasting task with a target, raises WORST to its tail / target.  */
 static void
 update_measure (struct dispatch_run *r, const struct held_run *h, double *worst)
 {
@@ -136,7 +135,7 @@
     *worst = tail;
 }
 
-/* R is in LISTS: it is not absent from them.  */
+/* R is in LISTS, so end_unlisted_runs must skip it.  */
 static void
 mark_listed (struct dispatch_run *r, const struct worker_lists *lists)
 {
@@ -187,7 +186,7 @@
   return e;
 }
 
-/* The cursor passes the ends that are recorded, up to the first that isn't.  */
+/* Advances the cursor over committed ends, up to the first that isn't.  */
 static void
 advance_cursor (struct dispatch_worker *w)
 {
@@ -200,8 +199,8 @@
     }
 }
 
-/* H is the end of a run that has another end in the log.  True while it must be recorded before it
-   is acknowledged.  */
+/* H is the end of a run that has another end in the log.  Returns true while it must be committed
+   before it is acknowledged.  */
 static bool
 record_late_end (struct dispatcher *d, const struct dispatch_worker *w, const struct held_end *h)
 {
@@ -246,7 +245,7 @@
   advance_cursor (w);
 }
 
-/* Runs that the lists should have and don't.  */
+/* Ends the runs that the lists should contain and don't.  */
 static void
 end_unlisted_runs (struct dispatcher *d, struct dispatch_worker *w,
                    const struct worker_lists *lists)
@@ -289,9 +288,8 @@
   end_unlisted_runs (d, w, lists);
 }
 
-/* Load pattern: several ends a second on each of hundreds of workers.  A look for each of them
-   takes the leader's whole processor, and then everything is late; further apart, ends share a
-   look.  */
+/* Load pattern: several ends a second on each of hundreds of workers.  A hold per end takes all of
+   the leader's processor time and delays everything else; with longer gaps, ends share a hold.  */
 static int64_t
 hold_gap_ms (const struct dispatcher *d)
 {
--- a/src/workflow/dispatcher_interference.c
+++ b/src/workflow/dispatcher_interference.c
@@ -1,12 +1,11 @@
-/* What fill-in tasks do to the lasting tasks beside them, as the dispatcher learns and predicts it.
- */
+/* Interference of fill-in tasks with lasting tasks on one worker: samples and predictions.  */
 #include <math.h>
 #include <string.h>
 
 #include "dispatcher_internal.h"
 
-#define MIN_SHARE 0.002             /* a smoothed share below it is dropped */
-#define PACED_COEFFICIENT_RATIO 0.3 /* of the worst image's coefficient: what is paced with it */
+#define MIN_SHARE 0.002             /* smoothed shares below it are dropped */
+#define PACED_COEFFICIENT_RATIO 0.3 /* of the largest coefficient; paced from there on */
 
 static bool
 is_fill (const struct dispatch_run *r)
@@ -36,7 +35,7 @@
     mix[(*count)++] = (struct fill_share){ .fill_image = fill_image, .share = share };
 }
 
-/* What fills on W at its present pace.  */
+/* Fill-in load of W at its current pace.  */
 static size_t
 paced_mix (const struct dispatch_worker *w, struct fill_share *mix)
 {
@@ -52,7 +51,7 @@
   return count;
 }
 
-/* What fills on W, or was placed there, at full pace; with room for one more.  */
+/* Fill-in load that runs or was placed on W, at full pace; the caller may add one entry.  */
 static size_t
 full_pace_mix (const struct dispatch_worker *w, struct fill_share *mix)
 {
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -13,41 +13,38 @@
 #include "size_share.h"
 #include "worker_select.h"
 
-#define HOLD_IDLE_MS 1300 /* where no tail must be watched; silence is noticed in time */
-#define HOLD_GAP_MS 30    /* ends that come within it share one look */
-/* And half a millisecond for each worker: at most 2,000 looks a second, a third of what a leader
-   with 0.4 of a processor can do (docs/CAPACITY.md, section 8).  */
+#define HOLD_IDLE_MS 1300 /* without tails to sample; short enough to notice a silent worker */
+#define HOLD_GAP_MS 30    /* ends within it share one hold */
+/* Added to the gap per worker: at most 2,000 holds a second, a third of what a leader with 0.4 of a
+   processor can do (docs/CAPACITY.md, section 8).  */
 #define HOLD_GAP_PER_WORKER_US 500
-#define HOLD_GAP_LAG_FACTOR 4 /* and so many times what ticks come late, smoothed */
-#define MAX_HOLD_GAP_MS 500   /* a third of RENEW_MAX_SILENCE_MS: the rest is for the leader's lag \
-                               */
+#define HOLD_GAP_LAG_FACTOR 4 /* times the smoothed tick lag, added to the gap */
+#define MAX_HOLD_GAP_MS 500   /* a third of RENEW_MAX_SILENCE_MS; the leader may lag for the rest */
 #define LAG_SMOOTHING 0.1     /* weight of one tick */
-/* First looks of a leader in one tick: their lists are long, and the voters must hear from the
-   leader meanwhile.  350 workers take 0.9 s.  */
+/* First holds of a new leader bring long lists, and its heartbeats to the voters must go out
+   meanwhile.  350 workers take 0.9 s.  */
 #define FIRST_HOLDS_PER_TICK 8
-#define MAX_FIRST_HOLDS 64 /* in a late tick; leases must not run out before all were asked */
-#define HOLD_WAIT_MS 500   /* samples of tails come each half second */
-#define HOLD_RETRY_MS 200  /* after a hold without an answer */
-/* No answer to holds for this long: no new tasks.  An idle hold, a retry and the limit of a call.
- */
+#define MAX_FIRST_HOLDS 64 /* in a late tick; all workers must be asked before leases expire */
+#define HOLD_WAIT_MS 500   /* tails are sampled every half second */
+#define HOLD_RETRY_MS 200  /* after a failed hold */
+/* A worker silent this long gets no new tasks: an idle hold, a retry and the call's time-out.  */
 #define WORKER_SILENT_MS 2800
 /* Leases are renewed this long after an answer: an idle hold and a margin.  */
 #define RENEW_MAX_SILENCE_MS 1500
-#define LATE_DONE_WAIT_MS 5000   /* a late end commits, or is listed again, well within this */
-#define ORDER_MAX_DELAY_MS 15000 /* an order may be carried out 12 s late; with margin */
-#define LEASE_MARGIN_MS 300      /* rounding and delays of the worker's own timer */
+#define LATE_DONE_WAIT_MS 5000   /* a late end commits, or is listed again, well within it */
+#define ORDER_MAX_DELAY_MS 15000 /* an order may be carried out 12 s late; with a margin */
+#define LEASE_MARGIN_MS 300      /* rounding and delays of the worker's timer */
 #define MIN_CLOCK_RATE 0.98      /* a worker's clock may be 2% slow */
 #define STOP_RETRY_MS 300        /* between two stop orders for one run */
-#define NO_ROOM_PAUSE_MS 400     /* a worker that refused for want of room gets nothing this long */
-#define START_RETRY_MS 100       /* a task whose start was refused waits this long */
-#define GONE_RETENTION_MS 60000  /* a worker that left is remembered against late reports */
+#define NO_ROOM_PAUSE_MS 400     /* no tasks for a worker that refused for lack of capacity */
+#define START_RETRY_MS 100       /* wait of a task whose start was refused */
+#define GONE_RETENTION_MS 60000  /* gone workers are kept, to reject late reports */
 #define AVOID_MIN_MS 1000        /* after the second failure in a row; doubles */
 #define AVOID_MAX_MS 16000
-/* Tails are averages over half a second: so is the mix they are matched with.  */
+/* Tails are averages over half a second, so the fill-in mix is smoothed in the same way.  */
 #define MIX_TIME_CONSTANT_MS 300.0
-#define MAX_MIX 16             /* fill-in images on one worker that are told apart */
-#define REPORT_MAX_AGE_MS 4000 /* a report whose clock is this far behind the last answer is late  \
-                                */
+#define MAX_MIX 16             /* fill-in images tracked per worker */
+#define REPORT_MAX_AGE_MS 4000 /* by its clock against the last answer's; older ones are stale */
 
 enum dispatch_state
 {
@@ -70,18 +67,18 @@
   uint32_t number;          /* run number */
   enum dispatch_state state;
   uint64_t token;        /* of its open proposal; 0 is none */
-  uint64_t settled_mark; /* a hold with a higher mark is final on whether it is there */
-  bool inherited;        /* an earlier leader gave the order */
+  uint64_t settled_mark; /* holds with a higher mark show for certain whether it runs */
+  bool inherited;        /* an earlier leader sent the order */
   bool stop_requested;   /* the job has ended, another copy is done, or to settle the order */
-  bool stop_settled;     /* the worker has acknowledged a stop: it never starts from now on */
-  bool stop_open;        /* a stop order is on its way */
+  bool stop_settled;     /* the worker acknowledged a stop: it can't start any more */
+  bool stop_open;        /* a stop order has no answer yet */
   int64_t stop_next_ms;  /* next stop order */
-  int64_t running_ms;    /* since when it is known to run; 0 while it isn't */
-  int64_t sent_ms;       /* the last start order, or when leadership began */
-  uint32_t paced;        /* percent that the worker has acknowledged */
+  int64_t running_ms;    /* when it became known to run; 0 before */
+  int64_t sent_ms;       /* last start order, or start of leadership */
+  uint32_t paced;        /* percent acknowledged by the worker */
   bool pace_open;
   uint32_t measure;
-  int image;        /* id of what fills or serves, in the harm model; -1: neither */
+  int image;        /* id in the slack model; -1: neither fill-in nor serving */
   char *checkpoint; /* latest that the worker listed; NULL is none */
 };
 
@@ -102,9 +99,9 @@
   struct cell_node node; /* in workers, by hash of the id */
   TAILQ_ENTRY (dispatch_worker) link;
 
-  /* What it said of itself.  */
+  /* Its last report.  */
   char *id;
-  char *address; /* NULL until it reported */
+  char *address; /* NULL before its first report */
   char *zone;
   char *pool;
   char *labels[4];
@@ -115,42 +112,42 @@
   uint32_t millicores, memory_mb, accelerators;
   bool reported; /* to this leader */
   bool draining;
-  bool gone; /* it left, or another life has its address */
+  bool gone; /* it left, or another incarnation has its address */
 
   /* Clock, lease and holds.  */
   bool clock_known;
-  int64_t clock_ms;               /* of the worker, read not later than clock_at_ms */
-  int64_t clock_at_ms;            /* our time */
-  int64_t deadline_ms;            /* largest lease given to this life, on its clock */
-  int64_t inherited_lease_end_ms; /* on our clock: for leases that an earlier leader gave */
-  int64_t last_answer_ms;         /* last answer to a hold */
-  int64_t listed_clock_ms;        /* worker's time of the newest lists */
+  int64_t clock_ms;        /* of the worker, read not later than clock_at_ms */
+  int64_t clock_at_ms;     /* leader's time */
+  int64_t deadline_ms;     /* latest lease of this incarnation, on its clock */
+  int64_t lease_end_ms;    /* leader's clock; for leases that an earlier leader granted */
+  int64_t last_answer_ms;  /* last answer to a hold */
+  int64_t listed_clock_ms; /* worker's time of the newest lists */
   int64_t hold_next_ms;
-  unsigned holds; /* on their way */
+  unsigned holds; /* without an answer yet */
   bool fenced;    /* has answered a hold of this leader */
-  bool hold_now;  /* do not wait for the usual time */
+  bool hold_now;  /* don't wait for hold_next_ms */
 
-  /* Ends and what runs.  */
-  uint64_t acknowledged; /* ends up to this number are recorded */
+  /* Ended and running tasks.  */
+  uint64_t acknowledged; /* ends up to this number are committed */
   struct listed_ends ends;
   struct dispatch_runs runs;
   uint32_t lasting_millicores, short_millicores, fill_millicores, used_memory_mb, used_accelerators;
 
-  /* Harm and trust.  */
+  /* Failures, interference and pacing.  */
   uint32_t failures; /* in a row */
   int64_t no_room_until_ms;
   int64_t avoid_until_ms;
   struct pacing pacing;
   uint32_t fill_millicores_of[SLACK_MAX_IMAGES]; /* millicores by fill-in image */
   uint16_t serving_tasks_of[SLACK_MAX_IMAGES];   /* tasks by serving image */
-  struct fill_share mix[MAX_MIX];                /* what filled lately, smoothed */
+  struct fill_share mix[MAX_MIX];                /* recent fill-in load, smoothed */
   size_t mix_count;
-  int64_t mix_ms; /* time of the last change of MIX */
+  int64_t mix_ms; /* last update of MIX */
 };
 
 TAILQ_HEAD (dispatch_workers, dispatch_worker);
 
-/* Sizes of the jobs of one queue.  */
+/* Size classes of the jobs of one queue.  */
 struct queue_sizes
 {
   SLIST_ENTRY (queue_sizes) link;
@@ -166,45 +163,45 @@
   int64_t lead_ms;
   int64_t authority_until_ms;
   int64_t now_ms;
-  uint64_t mark;        /* counts holds and settled orders */
+  uint64_t mark;        /* counter of holds and settled orders */
   int64_t tick_ms;      /* of the last tick; 0 before the first */
-  double tick_lag_ms;   /* how late ticks come, smoothed */
-  unsigned first_holds; /* left in this tick, to workers that have not answered this leader */
+  double tick_lag_ms;   /* delay of ticks, smoothed */
+  unsigned first_holds; /* allowed in this tick, to workers that haven't answered this leader */
   uint64_t token;       /* of the last proposal */
   struct cell_map workers;
   struct dispatch_workers worker_list;
   uint64_t prune_token; /* of the open PRUNE; 0 is none */
   int64_t load_log_next_ms;
   struct slack_model *slack_model;
-  SLIST_HEAD (, queue_sizes) sizes; /* of each queue that had a job under this leader */
-  double fill_slowdown;             /* run time of tasks that fill over their estimate, smoothed */
-  uint64_t waiting_fill;            /* millicores of waiting tasks that fill */
-  uint32_t waiting;                 /* tasks that could run now and have no worker */
+  SLIST_HEAD (, queue_sizes) sizes; /* of each queue with a job under this leader */
+  double fill_slowdown;             /* run time / estimate of fill-in tasks, smoothed */
+  uint64_t waiting_fill;            /* millicores of waiting fill-in tasks */
+  uint32_t waiting;                 /* due tasks without a worker */
 };
 
 /* dispatcher.c */
 bool dispatch_has_authority (const struct dispatcher *d);
 uint64_t dispatch_propose (struct dispatcher *d,
-                           const workflow_command *c); /* Proposes; the token. */
+                           const workflow_command *c); /* Returns the token. */
 void dispatch_propose_end (struct dispatcher *d, struct dispatch_run *r,
                            enum workflow_outcome outcome, const char *checkpoint,
-                           const char *why); /* Proposes the end of R. */
+                           const char *reason);
 struct dispatch_run *dispatch_add_run (struct dispatcher *d, struct dispatch_worker *w,
                                        struct workflow_task *t, uint32_t number);
 void dispatch_free_run (struct dispatch_run *r);
 struct dispatch_run *dispatch_find_run (struct dispatcher *d, const char *worker,
                                         const workflow_task_ref *task,
-                                        uint32_t number); /* NULL: not ours any more. */
+                                        uint32_t number); /* NULL: no longer tracked. */
 
 /* dispatcher_worker.c */
 struct dispatch_worker *dispatch_find_worker (const struct dispatcher *d, const char *id);
 struct dispatch_worker *dispatch_add_worker (struct dispatcher *d, const char *id);
 void dispatch_free_worker (struct dispatcher *d, struct dispatch_worker *w);
 void dispatch_mark_gone (struct dispatcher *d, struct dispatch_worker *w,
-                         const char *why); /* That life is over, with all that ran there. */
+                         const char *reason); /* That incarnation and its runs have ended. */
 void dispatch_update_clock (struct dispatcher *d, struct dispatch_worker *w, int64_t clock_ms);
 int64_t dispatch_lease_deadline (struct dispatcher *d,
-                                 struct dispatch_worker *w); /* For the next order; noted. */
+                                 struct dispatch_worker *w); /* For the next order; remembered. */
 void dispatch_update_incarnation (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms);
 struct worker_address dispatch_address (const struct dispatcher *d,
                                         const struct dispatch_worker *w); /* For an order. */
@@ -213,24 +210,22 @@
 
 /* dispatcher_interference.c */
 void dispatch_update_mix (struct dispatcher *d,
-                          struct dispatch_worker *w); /* Before samples are learned. */
+                          struct dispatch_worker *w); /* Before samples are added. */
 void dispatch_add_tail_sample (struct dispatcher *d, struct dispatch_worker *w,
                                const struct dispatch_run *r); /* A lasting run's new measure. */
 int dispatch_image_id (struct dispatcher *d,
-                       const workflow_step *s); /* Id in the harm model, or -1. */
-double
-dispatch_predict_interference (struct dispatcher *d, const struct dispatch_worker *w,
-                               int fill_image,
-                               uint32_t millicores); /* Predicted loss over what is allowed. */
+                       const workflow_step *s); /* Id in the slack model, or -1. */
+double dispatch_predict_interference (struct dispatcher *d, const struct dispatch_worker *w,
+                                      int fill_image,
+                                      uint32_t millicores); /* Predicted / largest allowed loss. */
 bool dispatch_should_pace (struct dispatcher *d, const struct dispatch_worker *w,
-                           int fill_image); /* A fill-in image to be paced there. */
+                           int fill_image); /* Whether to pace that image there. */
 
 /* dispatcher_sizes.c */
-void dispatch_register_job (struct dispatcher *d,
-                            struct workflow_job *j); /* This leader's first look. */
+void dispatch_register_job (struct dispatcher *d, struct workflow_job *j); /* New to this leader. */
 void dispatch_record_start (struct dispatcher *d,
                             struct workflow_job *j);       /* A task of J was placed. */
-double dispatch_size_share (const struct workflow_job *j); /* Of the jobs of about its size. */
+double dispatch_size_share (const struct workflow_job *j); /* Started ratio of its size class. */
 void dispatch_clear_sizes (struct dispatcher *d);
 
 /* dispatcher_place.c */
--- a/src/workflow/dispatcher_place.c
+++ b/src/workflow/dispatcher_place.c
@@ -1,4 +1,4 @@
-/* Order and placement of the tasks that may run.  */
+/* Order and placement of waiting tasks.  */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,14 +6,13 @@
 #include "dispatcher_internal.h"
 #include "waiting_order.h"
 
-/* With half of a pool free no job may wait with nothing running; with margin.  */
+/* With half of a pool free no job may wait without a running task; with a margin.  */
 #define MOSTLY_FREE_RATIO 0.6
-#define STARVED_MS 1500          /* of the 3 s that such a job may wait */
-#define WORKER_DISCOVERY_MS 5000 /* of leadership: three heartbeats of every worker */
-#define MAX_UNPLACEABLE 64       /* images times a few sizes */
-#define MAX_PLACED_PER_TICK                                                                        \
-  64 /* placements of one tick, 3,200 a second: bounds the time of a tick */
-#define MIN_WORKERS_PER_RESERVED 16 /* one in so many workers is kept free for lasting tasks */
+#define STARVED_MS 1500             /* such a job may wait 3 s */
+#define WORKER_DISCOVERY_MS 5000    /* of leadership: three heartbeats of every worker */
+#define MAX_UNPLACEABLE 64          /* images x a few sizes */
+#define MAX_PLACED_PER_TICK 64      /* bounds the time of a tick; 3,200 placements a second */
+#define MIN_WORKERS_PER_RESERVED 16 /* about one worker in 16 may be reserved for restarts */
 #define MILLI 1000
 
 struct waiting_task
@@ -28,10 +27,9 @@
   struct dispatch_worker **workers;
   struct worker_candidate *rows;
   size_t count;
-  size_t reserved;  /* workers in this tick */
-  bool mostly_free; /* tasks that do not fill declare less than MOSTLY_FREE_RATIO of the processors
-                     */
-  /* Whom the rows' fields USABLE and NEAR_DATA are for; NULL before the first task.  */
+  size_t reserved;  /* workers reserved in this tick */
+  bool mostly_free; /* lasting and short tasks declare less than MOSTLY_FREE_RATIO */
+  /* Request that USABLE and NEAR_DATA of the rows were set for; NULL before the first task.  */
   const char *pool;
   const char *label;
   const char *rack;
@@ -79,7 +77,7 @@
   return waiting_compare (&x->key, &y->key);
 }
 
-/* Such tasks are alike in all that decides when and where they run.  */
+/* Tasks of one step and occurrence have the same order and requirements.  */
 static bool
 is_same_step (const struct workflow_task *a, const struct workflow_task *b)
 {
@@ -204,7 +202,7 @@
   return a == b || (a && strcmp (a, b) == 0);
 }
 
-/* Most tasks that follow each other ask for the same.  */
+/* Skipped when nothing changed: consecutive tasks mostly have the same requirements.  */
 static void
 update_eligibility (struct candidates *c, const char *pool, const workflow_step *s)
 {
@@ -224,7 +222,7 @@
     }
 }
 
-/* Most of the workers stay open for short tasks.  */
+/* The number of reserved workers is bounded, so that most stay open for short tasks.  */
 static void
 reserve (struct candidates *c, const struct worker_request *q)
 {
@@ -237,8 +235,8 @@
   c->reserved++;
 }
 
-/* Load pattern: thousands of waiting tasks and hundreds of workers that have little room.  What is
-   costly to know is worked out only for workers that have room for the task.  */
+/* Load pattern: thousands of waiting tasks and hundreds of nearly full workers.  The costly fields
+   are computed only for workers that have capacity for the task.  */
 static size_t
 choose (struct dispatcher *d, struct candidates *c, const struct waiting_task *t)
 {
@@ -296,18 +294,17 @@
   r->token = dispatch_propose (d, &c);
 }
 
-/* Demands that found no room in this tick.  Load pattern: thousands of waiting tasks of a few
-   images, beside hundreds of workers; looking at every worker for each of them takes longer than a
-   tick.  */
+/* Requests that fit on no worker in this tick.  Load pattern: thousands of waiting tasks of a few
+   images and hundreds of workers; checking every worker for each task takes longer than a tick.  */
 struct unplaceable
 {
-  const struct waiting_task *last; /* that found none, also by comparison; NULL before any */
+  const struct waiting_task *last; /* that fit nowhere, tried or inferred; NULL before any */
   const struct waiting_task *tasks[MAX_UNPLACEABLE];
   size_t count;
-  bool mostly_free; /* a job with nothing running is looked at by itself */
+  bool mostly_free; /* then a job without a running task is tried by itself */
 };
 
-/* A task finds no room where one of the same image that needs no more has found none.  */
+/* A task fits nowhere if one of the same image that needs no more has fit nowhere.  */
 static bool
 needs_at_least (const struct waiting_task *a, const struct waiting_task *b, bool mostly_free)
 {
@@ -326,7 +323,7 @@
 static bool
 is_unplaceable (const struct unplaceable *n, const struct waiting_task *w)
 {
-  /* Each of them has a worker reserved.  */
+  /* Each of them gets a worker reserved.  */
   if (w->key.rank == WAITING_RESTART)
     return false;
   if (n->last && is_same_step (n->last->task, w->task))
--- a/src/workflow/dispatcher_sizes.c
+++ b/src/workflow/dispatcher_sizes.c
@@ -1,4 +1,4 @@
-/* Sizes of the jobs of each queue, for the order of waiting tasks.  */
+/* Size classes of the jobs of each queue, for the order of waiting tasks.  */
 #include <stdlib.h>
 #include <string.h>
 
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -1,4 +1,4 @@
-/* Workers: reports, lives, clocks, leases and holds.  */
+/* Workers: reports, incarnations, clocks, leases and holds.  */
 #include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
@@ -23,9 +23,9 @@
 {
   struct dispatch_worker *w = xcalloc (1, sizeof *w);
   w->id = xstrdup (id);
-  /* The leader before this one gave leases until it lost its authority, which ended before ours
-     began.  */
-  w->inherited_lease_end_ms
+  /* The previous leader could grant leases until its authority ended, which was before this
+     leader's began.  */
+  w->lease_end_ms
       = d->lead_ms + (int64_t)((double)d->config.lease_ms / MIN_CLOCK_RATE) + LEASE_MARGIN_MS;
   w->last_answer_ms = INT64_MIN / 2;
   TAILQ_INIT (&w->runs);
@@ -71,7 +71,7 @@
   free (w);
 }
 
-/* The worker's clock now, at its slowest.  */
+/* Lower bound of the worker's clock now, for a clock at MIN_CLOCK_RATE.  */
 static int64_t
 min_worker_clock (const struct dispatcher *d, const struct dispatch_worker *w)
 {
@@ -99,33 +99,33 @@
   return deadline_ms;
 }
 
-/* Neither a lease of ours nor one of an earlier leader can hold any more.  */
+/* Neither a lease of this leader nor one of an earlier leader can still be valid.  */
 static bool
 lease_is_over (const struct dispatcher *d, const struct dispatch_worker *w)
 {
-  if (d->now_ms < w->inherited_lease_end_ms)
+  if (d->now_ms < w->lease_end_ms)
     return false;
   return !w->clock_known || min_worker_clock (d, w) > w->deadline_ms + LEASE_MARGIN_MS;
 }
 
 void
-dispatch_mark_gone (struct dispatcher *d, struct dispatch_worker *w, const char *why)
+dispatch_mark_gone (struct dispatcher *d, struct dispatch_worker *w, const char *reason)
 {
   struct dispatch_run *r;
   if (w->gone)
     return;
   log_event (LOG_WARN, "worker-gone", "worker=%s address=%s born=%" PRId64 " reason=\"%s\"", w->id,
-             w->address ? w->address : "", w->born_ms, why);
+             w->address ? w->address : "", w->born_ms, reason);
   w->gone = true;
   w->gone_ms = d->now_ms;
   TAILQ_FOREACH (r, &w->runs, link)
   dispatch_propose_end (
       d, r, r->inherited || r->state == DISPATCH_RUNNING ? WORKFLOW_LAPSED : WORKFLOW_NOT_STARTED,
-      NULL, why);
+      NULL, reason);
 }
 
-/* The worker began again under its id: it runs nothing of before, has a new clock and has seen no
-   fence.  An order to its earlier life that got no answer may still reach the new one, so such runs
+/* The worker restarted under its id: its earlier runs are gone, it has a new clock and has seen no
+   fence.  An unanswered order to the earlier incarnation may still reach the new one, so such runs
    stay uncertain and are settled there.  */
 static void
 begin_incarnation (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms)
@@ -139,7 +139,7 @@
   w->deadline_ms = 0;
   w->listed_clock_ms = 0;
   w->fenced = false;
-  w->inherited_lease_end_ms
+  w->lease_end_ms
       = d->now_ms + (int64_t)((double)d->config.lease_ms / MIN_CLOCK_RATE) + LEASE_MARGIN_MS;
   w->acknowledged = 0;
   w->hold_now = true;
@@ -178,7 +178,7 @@
     w->labels[w->label_count++] = xstrdup (r->labels[i]);
 }
 
-/* Two ids at one address are two lives of it: the younger one is alive.  */
+/* Of two worker ids at one address the one that started later is alive.  */
 static int
 check_address (struct dispatcher *d, const struct worker_report *r, struct status *st)
 {
@@ -191,12 +191,12 @@
     if (r->born_ms < w->born_ms)
       return status_set (st, STATUS_STALE_INCARNATION, "worker %s took the address of %s", w->id,
                          r->id);
-    dispatch_mark_gone (d, w, "a younger worker has its address");
+    dispatch_mark_gone (d, w, "a newer worker has its address");
   }
   return 0;
 }
 
-/* The report is not newer than what is known: its sender's life or an earlier report of it.  */
+/* Rejects a report of an ended incarnation or one older than the last report.  */
 static int
 check_report_age (struct dispatcher *d, const struct dispatch_worker *w,
                   const struct worker_report *r, struct status *st)
@@ -254,7 +254,7 @@
   struct dispatch_worker *w = dispatch_find_worker (d, worker);
   d->now_ms = now_ms;
   if (w)
-    dispatch_mark_gone (d, w, "it left");
+    dispatch_mark_gone (d, w, "the worker left");
 }
 
 bool
@@ -273,7 +273,7 @@
   };
 }
 
-/* Tails matter where tasks that fill run beside lasting ones.  */
+/* Tails matter only where fill-in tasks share the worker with lasting ones.  */
 static uint32_t
 hold_wait_ms (const struct dispatch_worker *w)
 {
@@ -283,7 +283,7 @@
 static void
 send_hold (struct dispatcher *d, struct dispatch_worker *w)
 {
-  /* A worker that can't answer may still hear: its lease is renewed only while it answers.  */
+  /* A worker whose answers are lost may still get holds: renew its lease only while it answers.  */
   bool answers = d->now_ms - w->last_answer_ms < RENEW_MAX_SILENCE_MS;
   const struct worker_hold order = { .to = dispatch_address (d, w),
                                      .mark = ++d->mark,
@@ -306,12 +306,13 @@
     if ((r->state != DISPATCH_RUNNING && r->state != DISPATCH_UNCERTAIN) || late)
       continue;
     dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL,
-                          "the worker is silent and its lease is over");
+                          "the worker is silent and its lease has expired");
   }
 }
 
-/* Load pattern: a new leader finds hundreds of workers with long lists.  Asked all at once, their
-   answers keep it from the voters until these elect the next leader, which meets the same.  */
+/* Load pattern: a new leader with hundreds of workers that have long lists.  If it asks all at
+   once, reading the answers delays its heartbeats until the voters elect another leader, which then
+   has the same load.  */
 static bool
 may_send_hold (struct dispatcher *d, const struct dispatch_worker *w)
 {
--- a/src/workflow/pacing.c
+++ b/src/workflow/pacing.c
@@ -1,6 +1,6 @@
 #include "pacing.h"
 
-#define QUARTER_TAIL_RATIO 1.5 /* over the target by this much: stop at once */
+#define QUARTER_TAIL_RATIO 1.5 /* tail / target above which a cut quarters the share */
 
 void
 pacing_init (struct pacing *p)
--- a/src/workflow/size_share.c
+++ b/src/workflow/size_share.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <string.h>
 
-#define LARGEST_TENTH_QUANTILE 0.9 /* quantile from which a job is of the largest tenth */
+#define LARGEST_TENTH_QUANTILE 0.9 /* of work, from which a job is of the largest tenth */
 #define NEXT_FIFTH_QUANTILE 0.7    /* and of the fifth below it */
 
 void
--- a/src/workflow/slack_model.c
+++ b/src/workflow/slack_model.c
@@ -8,18 +8,18 @@
 #include "buffer.h"
 
 #define IMAGE_NAME_BYTES 257
-#define MAX_TERMS (SLACK_MAX_IMAGES + 1) /* the last is the slack alone */
+#define MAX_TERMS (SLACK_MAX_IMAGES + 1) /* the last is the slack without fill-in tasks */
 #define ALONE_TERM SLACK_MAX_IMAGES
-#define COEFFICIENT_RIDGE 0.03 /* weight of the prior: three samples at a share of a tenth */
-#define ALONE_RIDGE 1.0        /* one sample */
-#define ALONE_PRIOR 2.0        /* half of the target */
-#define DECAY_PER_FIT 0.97     /* per fit: samples count for about 2,000 more of them */
-#define SAMPLES_PER_FIT 64     /* samples */
+#define COEFFICIENT_RIDGE 0.03 /* prior weighs as three samples at a share of 0.1 */
+#define ALONE_RIDGE 1.0        /* prior weighs as one sample */
+#define ALONE_PRIOR 2.0        /* tail at half of the target */
+#define DECAY_PER_FIT 0.97     /* a sample counts for about 2,000 further samples */
+#define SAMPLES_PER_FIT 64
 #define MAX_COEFFICIENT 60.0
-#define MAX_SLACK 6.0    /* an idle task's tail; beyond it a sample says nothing more */
-#define LOW_QUANTILE 0.1 /* of the slack alone, when its own load peaks */
+#define MAX_SLACK 6.0    /* of an idle task; higher samples carry no more information */
+#define LOW_QUANTILE 0.1 /* of the slack alone: the peak of the task's own load */
 #define LOW_STEP 0.02
-#define MIN_MAX_LOSS 0.05 /* some harmless work may always run */
+#define LOSS_LIMIT_FLOOR 0.05 /* some work that hardly interferes may always run */
 
 struct fit
 {
@@ -95,7 +95,7 @@
   return find_or_add_image (&m->fill_image, image);
 }
 
-/* Solves (A + ridge) x = B + ridge x prior by elimination with pivots.  */
+/* Solves (A + ridge) x = B + ridge x prior by Gauss-Jordan elimination with partial pivoting.  */
 static void
 solve (const struct fit *f, int terms[MAX_TERMS], int n, double x[MAX_TERMS])
 {
@@ -106,7 +106,7 @@
       double ridge = alone ? ALONE_RIDGE : COEFFICIENT_RIDGE;
       for (int k = 0; k < n; k++)
         m[i][k] = f->a[terms[i]][terms[k]] + (i == k ? ridge : 0);
-      /* The loss counts against the slack: its prior is negative here.  */
+      /* Coefficients reduce the slack, so their prior is negative here.  */
       m[i][n] = f->b[terms[i]] + ridge * (alone ? ALONE_PRIOR : -SLACK_LOSS_PRIOR);
     }
   for (int i = 0; i < n; i++)
@@ -147,7 +147,7 @@
   f->coefficient[ALONE_TERM] = x[ALONE_TERM];
 }
 
-/* Older samples count less, once for SAMPLES_PER_FIT new ones.  */
+/* Reduces the weight of older samples, once per SAMPLES_PER_FIT new ones.  */
 static void
 decay (struct fit *f)
 {
@@ -204,5 +204,5 @@
 double
 slack_model_max_loss (const struct slack_model *m, int serving)
 {
-  return fmax (m->fits[serving]->low_slack - SLACK_MIN, MIN_MAX_LOSS);
+  return fmax (m->fits[serving]->low_slack - SLACK_MIN, LOSS_LIMIT_FLOOR);
 }
--- a/src/workflow/waiting_order.h
+++ b/src/workflow/waiting_order.h
@@ -1,18 +1,19 @@
-/* waiting_order: which waiting task gets the next room.  Pure.
+/* waiting_order: order in which waiting tasks get capacity.  Pure.
 
-   Load patterns.  Lasting tasks declare nearly all processors, so whoever goes first gets the gaps
-   that short tasks leave; worth per processor second falls in this order: short tasks in time,
-   lasting tasks, tasks that fill in time, what is late.  A job past its last worth goes last.
+   Load patterns.  Lasting tasks declare nearly all processors, so the first task in the order gets
+   the gaps that short tasks leave.  Value per processor second falls in this order: short tasks in
+   time, lasting tasks, fill-in tasks in time, late tasks.  Jobs that can't earn anything any more
+   go last.
 
-   A lasting task that ran and lost its worker serves nobody meanwhile.  Behind short tasks, which
-   take each gap as it opens, it would wait as long as they keep coming; so it goes first once it
-   has waited WAITING_RESTART_MS.
+   A lasting task that lost its worker serves no requests until it restarts.  Behind short tasks,
+   which take each gap as it opens, it would wait as long as they keep coming; so it goes first once
+   it has waited WAITING_RESTART_MS.
 
-   Tasks that fill often want two to three times the room that there is, for tens of seconds.  By
-   latest start, all jobs would share the room, each starting when it is only just in time, and most
-   would end late.  So the jobs that have started go on first, also when they are late, and then the
-   newest job that can be in time, of the size that has started most seldom: what is not served is
-   what has waited longest, and no size goes short.  */
+   Fill-in tasks often request two to three times the available capacity, for tens of seconds.  By
+   latest start time all jobs would share the capacity, each would start only just in time, and most
+   would end late.  So jobs that have started go first, even when late, then the newest job that can
+   still be in time, of the size class with the lowest started ratio.  Jobs that have waited longest
+   are the ones left out, and no size class starves.  */
 
 #ifndef SASSAFRAS_WAITING_ORDER_H
 #define SASSAFRAS_WAITING_ORDER_H
@@ -21,10 +22,8 @@
 #include <stdint.h>
 
 #define WAITING_LATE_FACTOR 3 /* a job earns nothing after this many objectives (users' rules) */
-
-#define WAITING_RESTART_MS                                                                         \
-  1000 /* room for a restart mostly opens before; of the 3 s it may wait                           \
-        */
+/* Capacity for a restart mostly opens earlier; a restart may wait 3 s.  */
+#define WAITING_RESTART_MS 1000
 
 enum waiting_rank
 {
@@ -33,23 +32,23 @@
   WAITING_LASTING,
   WAITING_FILL,
   WAITING_LATE,
-  WAITING_EXPIRED,
+  WAITING_EXPIRED, /* can't earn anything any more */
 };
 
-/* What is known of a waiting task and its job.  */
+/* Inputs of the order: a waiting task and its job.  */
 struct waiting_facts
 {
   int64_t now_ms;
-  int64_t seen_ms;      /* when the job came */
-  int64_t objective_ms; /* it should end this long after it came */
-  int64_t remain_ms;    /* longest chain of run times from this task's step to the job's end */
+  int64_t seen_ms;      /* arrival of the job */
+  int64_t objective_ms; /* after the arrival, for the end of the job */
+  int64_t remain_ms;    /* critical path from this task's step to the job's end */
   uint32_t priority;    /* of the queue; 0 comes first */
-  int64_t since_ms;     /* since when the task waits */
+  int64_t since_ms;     /* start of the wait */
   bool ran;             /* the task has run before */
   bool lasts;
   bool fills;
   bool started; /* a task of the job has started */
-  double share; /* of the jobs of about its size that got to start (size_share) */
+  double share; /* started ratio of the job's size class (size_share) */
 };
 
 struct waiting_key
@@ -63,7 +62,7 @@
 };
 
 struct waiting_key waiting_key_of (const struct waiting_facts *f);
-int waiting_compare (const struct waiting_key *a,
-                     const struct waiting_key *b); /* Negative: A goes first. */
+/* Negative: A goes first.  */
+int waiting_compare (const struct waiting_key *a, const struct waiting_key *b);
 
 #endif
--- a/src/workflow/worker_link.h
+++ b/src/workflow/worker_link.h
@@ -1,8 +1,8 @@
-/* worker_link: orders to workers that are called.
+/* worker_link: interface for orders to workers that the scheduler calls.
 
-   Whoever gives orders through this interface gets each outcome by a worker_outcome_fn, later and
-   exactly once.  Strings in an order are valid during the call only.  An implementation must not
-   report an outcome from inside an order.  */
+   The caller gets the outcome of each order by a worker_outcome_fn, later and exactly once.
+   Strings in an order are valid during the call only.  An implementation must not report an
+   outcome from inside an order.  */
 
 #ifndef SASSAFRAS_WORKER_LINK_H
 #define SASSAFRAS_WORKER_LINK_H
@@ -14,24 +14,23 @@
 #include "orders_proto.h"
 #include "workflow_proto.h"
 
-/* What is known after an order.  */
+/* Result of an order.  In all but OK and UNKNOWN the worker did nothing.  */
 enum worker_call_result
 {
   WORKER_CALL_OK,
-  WORKER_CALL_FENCED,    /* a newer leader has called this worker; nothing was done */
-  WORKER_CALL_OLD_RUN,   /* this or a later run was stopped or ended there; nothing was done */
-  WORKER_CALL_LATE,      /* the deadline had passed; nothing was done */
-  WORKER_CALL_NO_ROOM,   /* nothing was done */
-  WORKER_CALL_NO_TICKET, /* the advice that allows this worker is missing; nothing was done */
-  WORKER_CALL_REFUSED,   /* malformed, or the worker is unhealthy; nothing was done */
-  WORKER_CALL_OTHER_INCARNATION, /* another worker has the address; the one that was meant is gone
-                                  */
-  WORKER_CALL_UNKNOWN,           /* no answer: it may have been done, or may be done later */
+  WORKER_CALL_FENCED,            /* a newer leader has called this worker */
+  WORKER_CALL_OLD_RUN,           /* this or a later run was stopped or ended there */
+  WORKER_CALL_LATE,              /* the deadline had passed */
+  WORKER_CALL_NO_ROOM,           /* not enough free capacity */
+  WORKER_CALL_NO_TICKET,         /* the advice that allows this worker is missing */
+  WORKER_CALL_REFUSED,           /* malformed, or the worker is unhealthy */
+  WORKER_CALL_OTHER_INCARNATION, /* another worker has the address; the intended one is gone */
+  WORKER_CALL_UNKNOWN,           /* no answer: may have been done, or may be done later */
 };
 
 struct worker_address
 {
-  const char *worker;  /* id of the life that is meant */
+  const char *worker;  /* id of the intended incarnation */
   const char *address; /* ip:port */
   const char *zone;    /* data centre of the worker */
   uint64_t fence;      /* the worker ignores orders with a lower fence than it has seen */
@@ -63,14 +62,14 @@
   uint32_t percent; /* share of its work that the task may do */
 };
 
-/* Renews the lease and asks for both lists.  */
+/* Renews the lease and requests the lists of running and ended runs.  */
 struct worker_hold
 {
   struct worker_address to;
   uint64_t mark;         /* returned with the answer */
-  uint64_t acknowledged; /* ends up to this number are recorded */
+  uint64_t acknowledged; /* ends up to this number are committed */
   int64_t deadline_ms;   /* lease, on the worker's clock; 0 renews nothing */
-  uint32_t wait_ms;      /* the answer waits this long for an end */
+  uint32_t wait_ms;      /* the worker delays the answer this long for an end */
 };
 
 struct worker_link;
@@ -88,20 +87,20 @@
   const struct worker_link_ops *ops;
 };
 
-/* One run as a worker lists it.  */
+/* Running run in a worker's answer.  */
 struct held_run
 {
   workflow_task_ref task;
   uint32_t run;
   const char *checkpoint;
-  uint32_t percent; /* of its work; a lasting task is at work at 100 */
-  uint32_t measure; /* lasting: tail of its response times in ms; else millicores in use */
+  uint32_t percent; /* of its work; a lasting task serves at 100 */
+  uint32_t measure; /* lasting: tail response time in ms; else millicores in use */
 };
 
-/* One end as a worker lists it.  */
+/* Ended run in a worker's answer.  */
 struct held_end
 {
-  uint64_t number; /* counted by this life of the worker, from 1 */
+  uint64_t number; /* from 1 in each incarnation of the worker */
   workflow_task_ref task;
   uint32_t run;
   enum workflow_outcome outcome;
@@ -113,15 +112,15 @@
 {
   uint64_t mark;
   int64_t clock_ms; /* of the worker */
-  int64_t born_ms;  /* Unix time of the start of this life; 0 when not told */
+  int64_t born_ms;  /* Unix time of the incarnation's start; 0 when not sent */
   const struct held_run *running;
   size_t running_len;
   const struct held_end *ended;
   size_t ended_len;
-  bool complete; /* no end was left out */
+  bool complete; /* all ends are in the list */
 };
 
-/* What became of one order.  */
+/* Outcome of one order.  */
 struct worker_outcome
 {
   worker_order_kind kind;
@@ -136,7 +135,7 @@
 
 typedef void worker_outcome_fn (void *arg, int64_t now_ms, const struct worker_outcome *o);
 
-/* What a worker says of itself.  */
+/* A worker's report of its own state.  */
 struct worker_report
 {
   const char *id;
@@ -150,7 +149,7 @@
   uint32_t memory_mb;
   uint32_t accelerators;
   int64_t clock_ms; /* of the worker */
-  int64_t born_ms;  /* 0 when not told */
+  int64_t born_ms;  /* 0 when not sent */
   uint64_t sequence;
 };
 
--- a/src/workflow/worker_select.c
+++ b/src/workflow/worker_select.c
@@ -2,14 +2,12 @@
 
 #include <math.h>
 
-#define INTERFERENCE_WEIGHT                                                                        \
-  2.0 /* a full allowance of harm against a worker without unused processors */
-#define FOREIGN_PENALTY 1e5 /* above any gap in millicores */
-#define EMPTY_FOREIGN_SHARE                                                                        \
-  0.3 /* an empty worker goes before one that serves more of other images */
-#define EMPTY_WORKER_PENALTY                                                                       \
-  1.5 /* workers without lasting tasks are for images that disturb all others */
-/* Data on another rack doubles the run time: any near worker goes first.  */
+#define INTERFERENCE_WEIGHT 2.0 /* of the loss limit; unused processors weigh at most 1 */
+#define FOREIGN_PENALTY 1e5     /* above any gap in millicores */
+#define EMPTY_FOREIGN_SHARE 0.3 /* an empty worker is preferred to one with a higher share */
+/* Workers without lasting tasks are left to fill-in images that slow every serving image.  */
+#define EMPTY_WORKER_PENALTY 1.5
+/* Data on another rack doubles the run time, so any worker near the data goes first.  */
 #define REMOTE_DATA_PENALTY 1e6
 
 static double
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -1,8 +1,8 @@
-/* Guards against tasks that run twice, run after their end, or are never started again, when orders
-   get no answer, workers are silent or restarted, and leaders change.  */
+/* Guards against tasks that run twice, run after their end or are never restarted, when orders get
+   no answer, workers are silent or restart, and leaders change.  */
 #include "workflow_fixture.h"
 
-/* A task that is told done before its end is in the log would be lost with the leader.  */
+/* An end acknowledged before its commit would be lost with the leader.  */
 static void
 test_ends_are_acknowledged_after_their_commit (void **state)
 {
@@ -35,8 +35,8 @@
   assert_int_equal (fixture_last_hold (f, "w1").acknowledged, 1);
 }
 
-/* An order without an answer may be carried out seconds later: the task must not start elsewhere
-   before a stop for that run was acknowledged and a later hold doesn't list it.  */
+/* An unanswered order may be carried out seconds later: the task must not start elsewhere before a
+   stop for that run is acknowledged and a later hold doesn't list it.  */
 static void
 test_an_unanswered_start_is_settled_before_the_next (void **state)
 {
@@ -63,7 +63,7 @@
   assert_int_equal (f->starts[1].run, 2);
 }
 
-/* Stopping a run whose answer was lost would throw its work away.  */
+/* Stopping a run whose answer was lost would waste its work.  */
 static void
 test_an_unanswered_start_that_is_listed_runs_on (void **state)
 {
@@ -82,7 +82,7 @@
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_COMPLETED);
 }
 
-/* A worker that is cut off runs on until its lease is over; holds that it may still hear must not
+/* A partitioned worker goes on until its lease expires; holds that may still reach it must not
    renew that lease for ever.  */
 static void
 test_runs_of_a_silent_worker_lapse_once_and_in_time (void **state)
@@ -115,8 +115,8 @@
   assert_true (f->now_ms < silent_ms + FIXTURE_LEASE_MS + 3000);
 }
 
-/* What an earlier leader ordered is known from the log only: the first hold under the new fence
-   tells what runs, and nothing is started again before it.  */
+/* Orders of an earlier leader are known from the log only: the first hold under the new fence shows
+   what runs, and nothing is restarted before it.  */
 static void
 test_a_new_leader_learns_before_it_starts (void **state)
 {
@@ -143,8 +143,8 @@
   assert_int_equal (f->starts[2].run, 2);
 }
 
-/* A run on a worker that the new leader can't reach may go on until the lease that the old leader
-   gave is over.  */
+/* A run on a worker that the new leader can't reach may go on until the old leader's lease has
+   expired.  */
 static void
 test_a_new_leader_waits_for_leases_it_did_not_give (void **state)
 {
@@ -167,7 +167,7 @@
   assert_true (f->now_ms < lead_ms + FIXTURE_LEASE_MS + 1000);
 }
 
-/* Starts the one task of a job on w1, which is silent until that run counts as lapsed.  */
+/* Starts a job of one task on w1, which is then silent until the run has lapsed.  */
 static void
 lapse_one_run (struct fixture *f)
 {
@@ -180,8 +180,8 @@
   assert_true (TAILQ_EMPTY (&f->workflow.runs));
 }
 
-/* A worker that was silent until its lease counted as over may have finished the task before:
-   starting it again once that end is known would run it twice.  */
+/* A worker that was silent until its lease expired may have finished the task before: restarting it
+   once that end is known would run it twice.  */
 static void
 test_a_late_done_end_is_taken (void **state)
 {
@@ -194,7 +194,7 @@
   assert_int_equal (f->start_count, 1);
 }
 
-/* The same end, listed while the next placement is on its way into the log: no start may follow. */
+/* The same end, listed while the next placement is uncommitted: no start may follow.  */
 static void
 test_a_late_done_end_stops_the_next_start (void **state)
 {
@@ -211,8 +211,7 @@
   assert_int_equal (f->start_count, 1);
 }
 
-/* The end that was listed never gets into the log, and its worker is lost: the task must run again.
- */
+/* The listed end is never committed and its worker is lost: the task must run again.  */
 static void
 test_a_lost_late_end_does_not_block_the_task (void **state)
 {
@@ -241,7 +240,7 @@
   assert_int_equal (f->start_count, 2);
 }
 
-/* Under its old id a worker that crashed runs nothing of before.  */
+/* A worker that restarts under its old id has lost its runs.  */
 static void
 test_a_restarted_worker_has_lost_its_runs (void **state)
 {
@@ -265,7 +264,7 @@
   dispatcher_hold_answer (f->dispatcher, f->now_ms, "w1", WORKER_CALL_OK, &lists);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 2);
-  /* A report of the earlier life that comes late changes nothing.  */
+  /* A late report of the earlier incarnation is rejected.  */
   struct worker_report late = fixture_worker (f, "w1", "10.0.0.1:1");
   assert_int_equal (dispatcher_report (f->dispatcher, f->now_ms, &late, &st), -1);
 }
@@ -302,7 +301,7 @@
   fixture_submit (f, 1, 1, 1, 0);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 0);
-  /* An earlier report that comes late must not bring it back.  */
+  /* A late earlier report must not make it usable again.  */
   r.draining = false;
   r.sequence--;
   assert_int_equal (dispatcher_report (f->dispatcher, f->now_ms, &r, &st), -1);
@@ -310,7 +309,7 @@
   assert_int_equal (f->start_count, 0);
 }
 
-/* The worker starts to drain while the placement is on its way to the log.  */
+/* The worker starts to drain while the placement is uncommitted.  */
 static void
 test_a_placement_on_a_worker_that_drains_is_not_started (void **state)
 {
@@ -384,7 +383,7 @@
   assert_int_equal (f->hold_count, holds);
 }
 
-/* A task that the worker runs although nobody placed it is a late order: it is stopped.  */
+/* A run without a placement comes from a late order and is stopped.  */
 static void
 test_unknown_run_is_stopped (void **state)
 {
@@ -423,7 +422,7 @@
 }
 
 /* The gap that a short task leaves must not go to a lasting task while short tasks wait: on a full
-   system the short ones would starve.  */
+   pool the short ones would starve.  */
 static void
 test_short_tasks_go_before_lasting_ones (void **state)
 {
@@ -472,9 +471,8 @@
   assert_true (fixture_change (f, &c));
 }
 
-/* Replays kmbpu-sched-grown scale-1, seed 743500850570: a worker left, its lasting tasks needed
-   five cores each, and short tasks took every gap of one or two cores that opened elsewhere, for 12
-   s.  */
+/* Failure in kmbpu-sched-grown scale-1, seed 743500850570: a worker left, its lasting tasks needed
+   five cores each, and short tasks took every gap of one or two cores for 12 s.  */
 static void
 test_a_lasting_task_restarts_beside_short_ones (void **state)
 {
@@ -489,7 +487,7 @@
   fixture_join (f, "w2", "10.0.0.2:1");
   submit_sized (f, 2, 60, 1000, 0);
   f->start_count = 0;
-  /* The room is taken by short tasks first: they come before lasting ones that do not wait long. */
+  /* Short tasks take the capacity first: they precede lasting ones that haven't waited long.  */
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 16);
   size_t ended = 0;
@@ -514,8 +512,8 @@
   assert_true (restarted);
 }
 
-/* A job that no worker could hold would wait until its deadline; after a change of leader not all
-   workers are known, and nothing may be refused for that.  */
+/* A job too large for every worker would wait until its deadline.  After a change of leader not all
+   workers are known, which must not cause a refusal.  */
 static void
 test_a_job_that_fits_nowhere_is_known (void **state)
 {
@@ -537,12 +535,11 @@
 #define TEST(name) cmocka_unit_test_setup_teardown (name, fixture_open, fixture_close)
 
 #define MANY_WORKERS 350
-#define MAX_HOLDS_PER_S                                                                            \
-  2000 /* what the leader of the grown deployments can do beside its starts                        \
-        */
+/* Holds that the leader of the grown deployments can send beside its starts.  */
+#define MAX_HOLDS_PER_S 2000
 
-/* With several ends a second on each of many workers, every look is answered at once: the looks
-   alone must not take the leader's processor.  */
+/* With several ends a second on each of many workers, every hold is answered at once: the holds
+   alone must not use up the leader's processor.  */
 static void
 test_hold_rate_with_many_workers_is_bounded (void **state)
 {
@@ -574,11 +571,11 @@
     }
   assert_true (f->hold_count - before >= MANY_WORKERS);
   if (f->hold_count - before > MAX_HOLDS_PER_S)
-    fail_msg ("%zu looks in a second", f->hold_count - before);
+    fail_msg ("%zu holds in a second", f->hold_count - before);
 }
 
-/* A new leader that asks all workers at once reads their lists while the voters wait to hear from
-   it, and loses its place.  */
+/* A new leader that asks all workers at once reads their lists while the voters wait for its
+   heartbeats, and loses the leadership.  */
 static void
 test_a_new_leader_asks_few_workers_at_a_time (void **state)
 {
@@ -616,7 +613,7 @@
   return f->hold_count - before;
 }
 
-/* A leader without time makes its own load: each look that it sends brings an answer to read.  */
+/* An overloaded leader adds to its own load: each hold brings an answer to read.  */
 static void
 test_holds_are_rarer_while_ticks_are_late (void **state)
 {
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -1,6 +1,6 @@
-/* Guards against fill-in tasks that keep lasting tasks over their target, and against holding them
-   back for ever.  The replay: a tail that follows the share with half a second of delay and swings
-   with the serving load over ten seconds.  */
+/* Guards against fill-in tasks that keep lasting tasks over their target, and against pacing them
+   for ever.  In the simulation the tail follows the share after half a second and varies with the
+   serving load over ten seconds.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 
 #include "pacing.h"
 
-#define MAX_OVER_MS 4000 /* stated bound: over the target for this long on end breaks a promise */
+#define MAX_OVER_MS 4000 /* longer over the target at a stretch is a violation */
 
 static double
 tail (double at_s, double share, double interference)
@@ -22,7 +22,7 @@
 }
 
 static void
-replay (double interference, int64_t *longest_ms, double *mean_share)
+simulate (double interference, int64_t *longest_ms, double *mean_share)
 {
   struct pacing p;
   double shares[2] = { 1, 1 };
@@ -52,7 +52,7 @@
       double interference = i * 0.2;
       int64_t longest_ms;
       double share;
-      replay (interference, &longest_ms, &share);
+      simulate (interference, &longest_ms, &share);
       assert_true (longest_ms < MAX_OVER_MS);
     }
 }
@@ -63,7 +63,7 @@
   int64_t longest_ms;
   double share;
   (void)state;
-  replay (0.05, &longest_ms, &share);
+  simulate (0.05, &longest_ms, &share);
   assert_true (share > 0.9);
 }
 
--- a/tests/test_size_share.c
+++ b/tests/test_size_share.c
@@ -1,4 +1,4 @@
-/* Guards against sizes of jobs that are told apart wrongly, so that large jobs go short.  */
+/* Guards against wrong size classes, with which large jobs would starve.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -10,7 +10,7 @@
 
 #define STEP_MS 100
 
-/* Works of 1 to 100: a tenth is above 90, a fifth between 70 and 90.  */
+/* Work of 1 to 100: a tenth is above 90, a fifth between 70 and 90.  */
 static void
 test_classes_follow_the_recent_sizes (void **state)
 {
@@ -36,7 +36,7 @@
   assert_true (right >= counted * 9 / 10);
 }
 
-/* Jobs of one size are all in the largest tenth; that must not divide by zero or lose a start.  */
+/* Jobs of one size are all in the largest tenth: no division by zero, no lost start.  */
 static void
 test_jobs_of_one_size_share_one_class (void **state)
 {
@@ -55,7 +55,7 @@
   assert_true (share > 0.4 && share < 0.6);
 }
 
-/* What was served long ago must not stand for what is served now.  */
+/* Starts of long ago must not count as current ones.  */
 static void
 test_old_starts_count_less (void **state)
 {
--- a/tests/test_slack_model.c
+++ b/tests/test_slack_model.c
@@ -1,6 +1,6 @@
-/* Guards against placing fill-in tasks beside lasting tasks that they slow down.  The replay has
-   the shape of a played day: five serving images, nine fill-in images, about four in ten pairs
-   harmful, loads that swing by half, samples in whole milliseconds.  */
+/* Guards against placing fill-in tasks on workers whose lasting tasks they slow down.  The
+   simulation has five serving and nine fill-in images, strong interference in about four of ten
+   pairs, loads that vary by half, and samples in whole milliseconds.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -23,7 +23,7 @@
 #define HARMLESS 0.08
 #define SECONDS 30
 
-struct replay
+struct simulation
 {
   struct rng rng;
   struct slack_model *model;
@@ -35,7 +35,7 @@
 };
 
 static double
-interference (const struct replay *r, int worker)
+interference (const struct simulation *r, int worker)
 {
   double sum = 0;
   for (int i = 0; i < r->fills[worker]; i++)
@@ -45,7 +45,7 @@
 }
 
 static double
-tail_ms (const struct replay *r, int worker, double at_s)
+tail_ms (const struct simulation *r, int worker, double at_s)
 {
   double load = 0.42 * (1 + 0.5 * sin (at_s / 10 * 2 * M_PI + r->phase[worker]));
   double left = 1 - load - interference (r, worker);
@@ -53,17 +53,16 @@
 }
 
 static int
-make_image (struct replay *r, char *name, const char *kind)
+make_image (struct simulation *r, char *name, const char *kind)
 {
   int image = (int)rng_below (&r->rng, FILLING);
   snprintf (name, 32, "%s-%d", kind, image);
   return image;
 }
 
-/* Half a second: each worker reports, then gets new fill-in tasks; with the model these must fit.
- */
+/* Half a second: each worker reports, then gets new fill-in tasks, which the model may reject.  */
 static double
-step (struct replay *r, double at_s, bool use_model, double *done)
+step (struct simulation *r, double at_s, bool use_model, double *done)
 {
   double over = 0;
   for (int w = 0; w < WORKERS; w++)
@@ -108,9 +107,9 @@
 }
 
 static void
-run (struct replay *r, uint64_t seed, bool use_model, double *over, double *done)
+run (struct simulation *r, uint64_t seed, bool use_model, double *over, double *done)
 {
-  *r = (struct replay){ .model = slack_model_new () };
+  *r = (struct simulation){ .model = slack_model_new () };
   rng_init (&r->rng, seed);
   for (int s = 0; s < SERVING; s++)
     for (int f = 0; f < FILLING; f++)
@@ -128,12 +127,12 @@
     }
 }
 
-/* Stated aim: lasting tasks over their target less than a twentieth of the time, with at least half
-   of the work that a placement blind to images does.  */
+/* Requirement: lasting tasks are over their target less than a twentieth of the time, with at least
+   half of the work that placement without the model does.  */
 static void
 test_harmful_pairs_are_kept_apart (void **state)
 {
-  static struct replay r;
+  static struct simulation r;
   (void)state;
   for (uint64_t seed = 1; seed <= 20; seed++)
     {
@@ -156,7 +155,7 @@
 static void
 test_coefficients_tell_harmful_from_harmless (void **state)
 {
-  static struct replay r;
+  static struct simulation r;
   double over;
   double done;
   (void)state;
--- a/tests/test_waiting_order.c
+++ b/tests/test_waiting_order.c
@@ -1,5 +1,5 @@
-/* Guards against an order of waiting tasks that serves nobody when more work comes than can run:
-   each job starts when it is only just in time, all share the room, and most end late.  */
+/* Guards against an order by latest start under overload: each job starts only just in time, all
+   share the capacity, and most end late.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,21 +13,21 @@
 #include "waiting_order.h"
 
 #define STEP_MS 100
-#define ROOM 160            /* tasks at once */
-#define SIMULATION_MS 60000 /* the last 15 s of arrivals are not counted */
-#define COUNTED_MS 45000    /* jobs that came before */
+#define ROOM 160            /* concurrent tasks */
+#define SIMULATION_MS 60000 /* arrivals of the last 15 s aren't counted */
+#define COUNTED_MS 45000    /* jobs that arrived before */
 #define MAX_JOBS 1024
 #define MAX_WIDTH 32
 #define STEPS 2
 
-/* A job of two steps, as in the played days with most fill-in work: 8 tasks of 2.7 s, spread.  */
+/* A job of two steps of 8 tasks of 2.7 s on average, as in days with most fill-in work.  */
 struct job
 {
   int64_t arrived_ms;
-  int64_t ended_ms; /* 0 while it hasn't */
+  int64_t ended_ms; /* 0 while it runs or waits */
   int width;
   int64_t work_ms; /* of one task */
-  int step;        /* at work */
+  int step;        /* current */
   int placed;      /* tasks of the step that were placed */
   int done;
   enum size_class size;
@@ -164,7 +164,7 @@
     }
 }
 
-/* Share of the jobs of LEAST tasks or more a step that ended in time, or at all.  */
+/* Share of the jobs of LEAST tasks or more a step that ended in time, or before expiry.  */
 static double
 share (const struct simulation *sim, int least, bool in_time)
 {
@@ -182,7 +182,7 @@
   return all > 0 ? (double)served / all : 0;
 }
 
-/* 160 tasks of 2.7 s: 59 tasks/s.  10 jobs/s of 19 tasks ask for more than three times that.  */
+/* 160 tasks of 2.7 s: 59 tasks/s.  10 jobs/s of 19 tasks need more than three times that.  */
 static void
 test_under_overload_more_jobs_end_in_time (void **state)
 {
@@ -199,7 +199,7 @@
     }
 }
 
-/* The users' gate: the largest tenth is served at least half as often as all.  */
+/* Requirement of the users: the largest tenth is served at least half as often as all jobs.  */
 static void
 test_under_overload_large_jobs_are_served_too (void **state)
 {
@@ -214,7 +214,7 @@
     }
 }
 
-/* With room for all, the order must not delay anybody.  */
+/* With enough capacity the order must not delay any job.  */
 static void
 test_without_overload_all_end_in_time (void **state)
 {
--- a/tests/test_worker_select.c
+++ b/tests/test_worker_select.c
@@ -1,4 +1,4 @@
-/* Guards against placements that waste gaps or put fill-in tasks where they do harm.  */
+/* Guards against placements that waste gaps or put fill-in tasks where they interfere.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,7 +21,7 @@
                                     .near_data = true };
 }
 
-/* A large task must still find a gap after small ones.  */
+/* A large task must still find a gap after small ones were placed.  */
 static void
 test_small_tasks_take_the_smallest_gap (void **state)
 {
@@ -31,7 +31,7 @@
   assert_int_equal (worker_select_best (rows, 3, &q), 1);
 }
 
-/* Lasting tasks of other images raise the chance that a fill-in image disturbs one of them.  */
+/* The more serving images on a worker, the likelier a fill-in image interferes with one.  */
 static void
 test_lasting_tasks_of_one_image_stay_together (void **state)
 {
@@ -53,8 +53,8 @@
 #define JOBS 37
 #define TASKS_PER_JOB 6
 
-/* Places the lasting tasks that a played day begins with: 222 of 1.6 to 4.8 processors, of five
-   images, which declare four fifths of 48 workers.  Returns how many of them found no room.  */
+/* Places the lasting tasks of a simulated day's start: 222 of 1.6 to 4.8 processors, of five
+   images, which declare four fifths of 48 workers.  Returns how many fit nowhere.  */
 static int
 place_lasting_tasks (struct rng *rng, uint32_t serving[WORKERS][IMAGES])
 {
@@ -88,8 +88,8 @@
   return left_out;
 }
 
-/* Workers that serve several images leave no place where a fill-in image does no harm: at most a
-   quarter of the pool may.  */
+/* On workers that serve several images every fill-in image interferes with one: at most a quarter
+   of the pool may.  */
 static void
 test_few_workers_mix_lasting_images (void **state)
 {
@@ -130,8 +130,8 @@
   assert_int_equal (worker_select_best (rows, 3, &q), WORKER_SELECT_NONE);
 }
 
-/* Some fill-in images disturb every serving image: they starve if others take the workers that
-   serve nobody.  */
+/* Some fill-in images slow every serving image and starve if others take the workers without
+   lasting tasks.  */
 static void
 test_harmless_fill_leaves_the_empty_workers (void **state)
 {
@@ -144,7 +144,7 @@
   assert_int_equal (worker_select_best (rows, 2, &q), 0);
 }
 
-/* A job whose image disturbs everything must not wait for ever beside free workers.  */
+/* A job whose image slows every serving image must not wait for ever while workers are free.  */
 static void
 test_a_starved_job_runs_despite_interference (void **state)
 {
@@ -175,8 +175,7 @@
   assert_false (worker_select_fits (&row, &q));
 }
 
-/* Room is kept on the worker that gets free soonest; short tasks stay away, the restart does not.
- */
+/* Reserves the worker with the fewest short tasks; short tasks avoid it, the restart doesn't.  */
 static void
 test_room_is_reserved_for_a_restart (void **state)
 {
