--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -396,7 +396,7 @@
     report_workers (s);
   if (s->now_ms % DISPATCHER_TICK_MS == 0)
     {
-      dispatcher_authority (s->dispatcher, s->now_ms + 1000);
+      dispatcher_set_authority (s->dispatcher, s->now_ms + 1000);
       dispatcher_tick (s->dispatcher, s->now_ms, 0);
     }
   commit (s);
@@ -446,7 +446,7 @@
                                             .status_ms = STATUS_MS };
   s->dispatcher = dispatcher_new (&config);
   configure (s);
-  dispatcher_lead (s->dispatcher, 0, 1);
+  dispatcher_become_leader (s->dispatcher, 0, 1);
 }
 
 static void
--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -271,7 +271,7 @@
 }
 
 void
-dispatcher_lead (struct dispatcher *d, int64_t now_ms, uint64_t fence)
+dispatcher_become_leader (struct dispatcher *d, int64_t now_ms, uint64_t fence)
 {
   struct workflow *w = d->config.workflow;
   struct workflow_run *run;
@@ -302,7 +302,7 @@
 }
 
 void
-dispatcher_authority (struct dispatcher *d, int64_t until_ms)
+dispatcher_set_authority (struct dispatcher *d, int64_t until_ms)
 {
   d->authority_until_ms = until_ms;
 }
--- a/src/workflow/dispatcher.h
+++ b/src/workflow/dispatcher.h
@@ -58,11 +58,11 @@
 void dispatcher_free (struct dispatcher *d);
 
 /* Leadership.  */
-void dispatcher_lead (struct dispatcher *d, int64_t now_ms,
-                      uint64_t fence);         /* Own log applied; FENCE is the term. */
-void dispatcher_resign (struct dispatcher *d); /* Drops all state. */
-void dispatcher_authority (struct dispatcher *d,
-                           int64_t until_ms); /* No other leader can exist before UNTIL_MS. */
+void dispatcher_become_leader (struct dispatcher *d, int64_t now_ms,
+                               uint64_t fence); /* Own log applied; FENCE is the term. */
+void dispatcher_resign (struct dispatcher *d);  /* Drops all state. */
+void dispatcher_set_authority (struct dispatcher *d,
+                               int64_t until_ms); /* No other leader can exist before UNTIL_MS. */
 bool dispatcher_may_act (const struct dispatcher *d,
                          int64_t now_ms); /* Leads, and no other leader can exist now. */
 void dispatcher_proposed (struct dispatcher *d, int64_t now_ms, uint64_t token,
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -186,7 +186,7 @@
   log_event (LOG_INFO, "leadership-gained", "term=%llu applied=%llu",
              (unsigned long long)group_term (s->group),
              (unsigned long long)group_applied_index (s->group));
-  dispatcher_lead (s->dispatcher, now_ms, group_term (s->group));
+  dispatcher_become_leader (s->dispatcher, now_ms, group_term (s->group));
   leader_place_gained (&s->place);
 }
 
@@ -196,7 +196,7 @@
   struct status st;
   s->handing_over = true;
   s->hand_over_next_ms = clock_now_ms (s->config.clock) + MOVE_RETRY_MS;
-  dispatcher_authority (s->dispatcher, 0);
+  dispatcher_set_authority (s->dispatcher, 0);
   if (s->group && group_is_leader (s->group) && group_transfer (s->group, to, &st) < 0)
     log_event (LOG_WARN, "no-hand-over", "reason=\"%s\"", st.message);
 }
@@ -227,7 +227,7 @@
     return;
   if (!s->leading)
     gain (s, clock_now_ms (s->config.clock));
-  dispatcher_authority (s->dispatcher, s->round_began_ms + AUTHORITY_MS - AUTHORITY_MARGIN_MS);
+  dispatcher_set_authority (s->dispatcher, s->round_began_ms + AUTHORITY_MS - AUTHORITY_MARGIN_MS);
   check_place (s, clock_now_ms (s->config.clock));
 }
 
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -126,7 +126,7 @@
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 2);
   dispatcher_resign (f->dispatcher);
-  dispatcher_lead (f->dispatcher, f->now_ms, 8);
+  dispatcher_become_leader (f->dispatcher, f->now_ms, 8);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 2);
   struct status st;
@@ -154,7 +154,7 @@
   fixture_tick (f, 20);
   fixture_answer_start (f, &f->starts[0], WORKER_CALL_OK);
   dispatcher_resign (f->dispatcher);
-  dispatcher_lead (f->dispatcher, f->now_ms, 8);
+  dispatcher_become_leader (f->dispatcher, f->now_ms, 8);
   int64_t lead_ms = f->now_ms;
   fixture_join (f, "w2", "10.0.0.2:1");
   while (f->start_count == 1 && f->now_ms < lead_ms + 20000)
--- a/tests/workflow_fixture.h
+++ b/tests/workflow_fixture.h
@@ -159,7 +159,7 @@
 fixture_tick (struct fixture *f, int64_t ms)
 {
   f->now_ms += ms;
-  dispatcher_authority (f->dispatcher, f->now_ms + 1000);
+  dispatcher_set_authority (f->dispatcher, f->now_ms + 1000);
   dispatcher_tick (f->dispatcher, f->now_ms, f->now_ms);
   fixture_commit (f);
 }
@@ -318,8 +318,8 @@
                                             .lease_ms = FIXTURE_LEASE_MS,
                                             .status_ms = 120000 };
   f->dispatcher = dispatcher_new (&config);
-  dispatcher_lead (f->dispatcher, f->now_ms, 7);
-  dispatcher_authority (f->dispatcher, f->now_ms + 1000);
+  dispatcher_become_leader (f->dispatcher, f->now_ms, 7);
+  dispatcher_set_authority (f->dispatcher, f->now_ms + 1000);
   fixture_configure (f, 1, 2);
   *state = f;
   return 0;
