--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -339,7 +339,7 @@
   const struct dispatch_worker *w = r->worker;
   const struct worker_stop order
       = { .to = dispatch_address (d, w), .task = workflow_ref (r->task), .run = r->number };
-  r->stop_open = true;
+  r->stop_pending = true;
   log_event (LOG_INFO, "stop-sent", "job=%016" PRIx64 " step=%u task=%u run=%u worker=%s",
              r->task->job->spec.id, r->task->step, r->task->index, r->number, w->id);
   d->config.link->ops->stop (d->config.link, &order);
@@ -367,7 +367,7 @@
                                      .task = workflow_ref (r->task),
                                      .run = r->number,
                                      .percent = target_pace (d, r) };
-  r->pace_open = true;
+  r->pace_pending = true;
   d->config.link->ops->pace (d->config.link, &order);
 }
 
@@ -377,10 +377,10 @@
   bool may_stop = r->state == DISPATCH_RUNNING || r->state == DISPATCH_UNCERTAIN;
   if (!r->worker->address || r->worker->gone)
     return;
-  if (may_stop && r->stop_requested && !r->stop_settled && !r->stop_open
+  if (may_stop && r->stop_requested && !r->stop_settled && !r->stop_pending
       && d->now_ms >= r->stop_next_ms)
     send_stop (d, r);
-  if (r->state == DISPATCH_RUNNING && !r->pace_open && r->paced != target_pace (d, r))
+  if (r->state == DISPATCH_RUNNING && !r->pace_pending && r->paced != target_pace (d, r))
     send_pace (d, r);
 }
 
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -87,7 +87,7 @@
              task->index, run, worker, result_name (result));
   if (!r)
     return;
-  r->stop_open = false;
+  r->stop_pending = false;
   r->stop_next_ms = now_ms + STOP_RETRY_MS;
   if (result == WORKER_CALL_OTHER_INCARNATION)
     dispatch_mark_gone (d, r->worker, "another worker has its address");
@@ -107,7 +107,7 @@
   struct dispatch_run *r = dispatch_find_run (d, worker, task, run);
   if (!r)
     return;
-  r->pace_open = false;
+  r->pace_pending = false;
   if (result == WORKER_CALL_OK)
     r->paced = percent;
 }
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -19,7 +19,7 @@
    processor can do (docs/CAPACITY.md, section 8).  */
 #define HOLD_GAP_PER_WORKER_US 500
 #define HOLD_GAP_LAG_FACTOR 4 /* times the smoothed tick lag, added to the gap */
-#define MAX_HOLD_GAP_MS 500   /* a third of RENEW_MAX_SILENCE_MS; the leader may lag for the rest */
+#define MAX_HOLD_GAP_MS 500   /* a third of RENEW_MAX_SILENCE_MS; the rest allows for lag */
 #define LAG_SMOOTHING 0.1     /* weight of one tick */
 /* First holds of a new leader bring long lists, and its heartbeats to the voters must go out
    meanwhile.  350 workers take 0.9 s.  */
@@ -32,7 +32,7 @@
 /* Leases are renewed this long after an answer: an idle hold and a margin.  */
 #define RENEW_MAX_SILENCE_MS 1500
 #define LATE_DONE_WAIT_MS 5000   /* a late end commits, or is listed again, well within it */
-#define ORDER_MAX_DELAY_MS 15000 /* an order may be carried out 12 s late; with a margin */
+#define ORDER_MAX_DELAY_MS 15000 /* an order may be executed 12 s late; with a margin */
 #define LEASE_MARGIN_MS 300      /* rounding and delays of the worker's timer */
 #define MIN_CLOCK_RATE 0.98      /* a worker's clock may be 2% slow */
 #define STOP_RETRY_MS 300        /* between two stop orders for one run */
@@ -71,12 +71,12 @@
   bool inherited;        /* an earlier leader sent the order */
   bool stop_requested;   /* the job has ended, another copy is done, or to settle the order */
   bool stop_settled;     /* the worker acknowledged a stop: it can't start any more */
-  bool stop_open;        /* a stop order has no answer yet */
+  bool stop_pending;     /* a stop order has no answer yet */
   int64_t stop_next_ms;  /* next stop order */
   int64_t running_ms;    /* when it became known to run; 0 before */
   int64_t sent_ms;       /* last start order, or start of leadership */
   uint32_t paced;        /* percent acknowledged by the worker */
-  bool pace_open;
+  bool pace_pending;
   uint32_t measure;
   int image;        /* id in the slack model; -1: neither fill-in nor serving */
   char *checkpoint; /* latest that the worker listed; NULL is none */
@@ -201,7 +201,7 @@
                          const char *reason); /* That incarnation and its runs have ended. */
 void dispatch_update_clock (struct dispatcher *d, struct dispatch_worker *w, int64_t clock_ms);
 int64_t dispatch_lease_deadline (struct dispatcher *d,
-                                 struct dispatch_worker *w); /* For the next order; remembered. */
+                                 struct dispatch_worker *w); /* For the next order; stored in W. */
 void dispatch_update_incarnation (struct dispatcher *d, struct dispatch_worker *w, int64_t born_ms);
 struct worker_address dispatch_address (const struct dispatcher *d,
                                         const struct dispatch_worker *w); /* For an order. */
@@ -219,7 +219,7 @@
                                       int fill_image,
                                       uint32_t millicores); /* Predicted / largest allowed loss. */
 bool dispatch_should_pace (struct dispatcher *d, const struct dispatch_worker *w,
-                           int fill_image); /* Whether to pace that image there. */
+                           int fill_image); /* Pace that image there. */
 
 /* dispatcher_sizes.c */
 void dispatch_register_job (struct dispatcher *d, struct workflow_job *j); /* New to this leader. */
--- a/src/workflow/size_share.c
+++ b/src/workflow/size_share.c
@@ -28,7 +28,7 @@
 static enum size_class
 classify (const struct size_share *s, double work)
 {
-  size_t count = s->seen < SIZE_SHARE_WINDOW_JOBS ? s->seen : SIZE_SHARE_WINDOW_JOBS;
+  size_t count = s->arrivals < SIZE_SHARE_WINDOW_JOBS ? s->arrivals : SIZE_SHARE_WINDOW_JOBS;
   size_t smaller = 0;
   for (size_t i = 0; i < count; i++)
     smaller += s->work[i] < work;
@@ -40,7 +40,7 @@
 enum size_class
 size_share_add_arrival (struct size_share *s, int64_t now_ms, double work)
 {
-  s->work[s->seen++ % SIZE_SHARE_WINDOW_JOBS] = work;
+  s->work[s->arrivals++ % SIZE_SHARE_WINDOW_JOBS] = work;
   enum size_class class = classify (s, work);
   decay (s, now_ms);
   s->arrived[class] += 1;
--- a/src/workflow/size_share.h
+++ b/src/workflow/size_share.h
@@ -26,7 +26,7 @@
 struct size_share
 {
   double work[SIZE_SHARE_WINDOW_JOBS]; /* ring buffer of the last jobs */
-  size_t seen;                         /* jobs since the start */
+  size_t arrivals;                     /* jobs since the start */
   double arrived[SIZE_CLASSES];
   double started[SIZE_CLASSES];
   int64_t decayed_ms;
--- a/src/workflow/slack_model.c
+++ b/src/workflow/slack_model.c
@@ -165,17 +165,17 @@
 {
   struct fit *f = m->fits[serving];
   double x[MAX_TERMS] = { 0 };
-  double seen = fmin (slack, MAX_SLACK);
+  double bounded = fmin (slack, MAX_SLACK);
   for (size_t i = 0; i < count; i++)
     x[mix[i].fill_image] += mix[i].share;
   x[ALONE_TERM] = 1;
-  double alone = seen + slack_model_loss (m, serving, mix, count);
+  double alone = bounded + slack_model_loss (m, serving, mix, count);
   f->low_slack += alone < f->low_slack ? -LOW_STEP * (1 - LOW_QUANTILE) : LOW_STEP * LOW_QUANTILE;
   for (int i = 0; i < MAX_TERMS; i++)
     {
       if (x[i] == 0)
         continue;
-      f->b[i] += x[i] * seen;
+      f->b[i] += x[i] * bounded;
       for (int k = 0; k < MAX_TERMS; k++)
         f->a[i][k] += x[i] * x[k];
     }
--- a/src/workflow/worker_link.h
+++ b/src/workflow/worker_link.h
@@ -1,4 +1,4 @@
-/* worker_link: interface for orders to workers that the scheduler calls.
+/* worker_link: interface for orders to workers that the leader calls.
 
    The caller gets the outcome of each order by a worker_outcome_fn, later and exactly once.
    Strings in an order are valid during the call only.  An implementation must not report an
@@ -25,7 +25,7 @@
   WORKER_CALL_NO_TICKET,         /* the advice that allows this worker is missing */
   WORKER_CALL_REFUSED,           /* malformed, or the worker is unhealthy */
   WORKER_CALL_OTHER_INCARNATION, /* another worker has the address; the intended one is gone */
-  WORKER_CALL_UNKNOWN,           /* no answer: may have been done, or may be done later */
+  WORKER_CALL_UNKNOWN,           /* no answer: executed, or may be later */
 };
 
 struct worker_address
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -35,7 +35,7 @@
   assert_int_equal (fixture_last_hold (f, "w1").acknowledged, 1);
 }
 
-/* An unanswered order may be carried out seconds later: the task must not start elsewhere before a
+/* An unanswered order may be executed seconds later: the task must not start elsewhere before a
    stop for that run is acknowledged and a later hold doesn't list it.  */
 static void
 test_an_unanswered_start_is_settled_before_the_next (void **state)
