--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -5,12 +5,12 @@
 
 #include "cell_internal.h"
 
-#define REFUSED_MESSAGE "the entry cannot be decoded"
+#define UNDECODABLE_ENTRY_MESSAGE "the entry cannot be decoded"
 
 static char empty_string[] = "";
 
 void
-cell_refuse (cell_result *r, enum status_kind kind, const char *message)
+cell_set_error (cell_result *r, enum status_kind kind, const char *message)
 {
   r->status = kind;
   if (r->message != empty_string)
@@ -156,16 +156,17 @@
   if (!xdr_cell_batch (&xdr, &batch))
     {
       init_results (&results, 1);
-      cell_refuse (&results.results.results_val[0], STATUS_BAD_REQUEST, REFUSED_MESSAGE);
+      cell_set_error (&results.results.results_val[0], STATUS_BAD_REQUEST,
+                      UNDECODABLE_ENTRY_MESSAGE);
       xdr_free ((xdrproc_t)xdr_cell_batch, (char *)&batch);
       encode_results (&results, result);
       return;
     }
   if (batch.now_ms > c->now_ms)
     c->now_ms = batch.now_ms;
-  cell_drop_finished (c);
-  cell_drop_intents (c);
-  cell_drop_handoffs (c);
+  cell_expire_finished_jobs (c);
+  cell_expire_intents (c);
+  cell_expire_handoffs (c);
   init_results (&results, batch.commands.commands_len);
   for (u_int i = 0; i < batch.commands.commands_len; i++)
     apply_command (c, &batch.commands.commands_val[i], &results.results.results_val[i]);
--- a/src/cell/cell.h
+++ b/src/cell/cell.h
@@ -28,9 +28,10 @@
    latter as checkpoints advance.  STANDBY_START may be repeated.  An owner that returns proposes
    EPOCH_CLOSED before it starts anything; its covered tasks become OFFERED to the copy's cell.
 
-   Finished jobs are kept for CELL_FINISHED_LIFE_MS, at most CELL_MAX_FINISHED of them; intents for
-   CELL_INTENT_LIFE_MS, at most CELL_MAX_INTENTS, new ones are refused with STATUS_OVERLOADED
-   beyond it.  An outcome recorded once is final: a second finish gets the first outcome back.  */
+   Finished jobs are kept for CELL_FINISHED_RETENTION_MS, at most CELL_MAX_FINISHED of them; intents
+   for CELL_INTENT_RETENTION_MS, at most CELL_MAX_INTENTS, new ones are refused with
+   STATUS_OVERLOADED beyond it.  An outcome recorded once is final: a second finish gets the first
+   outcome back.  */
 
 #ifndef SASSAFRAS_CELL_H
 #define SASSAFRAS_CELL_H
@@ -44,9 +45,9 @@
 #include "cell_proto.h"
 #include "machine.h"
 
-#define CELL_INTENT_LIFE_MS (24LL * 3600 * 1000)
-#define CELL_FINISHED_LIFE_MS (24LL * 3600 * 1000)
-#define CELL_HANDOFF_LIFE_MS (24LL * 3600 * 1000)
+#define CELL_INTENT_RETENTION_MS (24LL * 3600 * 1000)
+#define CELL_FINISHED_RETENTION_MS (24LL * 3600 * 1000)
+#define CELL_HANDOFF_RETENTION_MS (24LL * 3600 * 1000)
 #define CELL_MAX_INTENTS 200000
 #define CELL_MAX_FINISHED 65536
 #define CELL_MAX_TASKS 400000
--- a/src/cell/cell_handoff.c
+++ b/src/cell/cell_handoff.c
@@ -53,10 +53,10 @@
 }
 
 void
-cell_drop_handoffs (struct cell *c)
+cell_expire_handoffs (struct cell *c)
 {
   struct cell_handoff *h;
-  while ((h = TAILQ_FIRST (&c->handoff_list)) && c->now_ms - h->at_ms > CELL_HANDOFF_LIFE_MS)
+  while ((h = TAILQ_FIRST (&c->handoff_list)) && c->now_ms - h->at_ms > CELL_HANDOFF_RETENTION_MS)
     free_handoff (c, h);
 }
 
@@ -90,12 +90,12 @@
   struct cell_task *t = cell_find_task (c, a->task);
   if (!t || t->epoch != a->epoch || t->state != CELL_PENDING)
     {
-      cell_refuse (r, STATUS_STALE_EPOCH, "the task is not pending at this epoch");
+      cell_set_error (r, STATUS_STALE_EPOCH, "the task is not pending at this epoch");
       return;
     }
   if (a->to_cell == c->number || (t->other_cell != 0 && t->other_cell != a->to_cell))
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, "the standby copy is in another cell");
+      cell_set_error (r, STATUS_BAD_REQUEST, "the standby copy is in another cell");
       return;
     }
   t->epoch = cell_next_epoch (c, t->epoch);
@@ -105,7 +105,7 @@
 }
 
 static struct cell_job *
-job_of_transfer (struct cell *c, cell_transfer *a)
+find_or_create_job (struct cell *c, cell_transfer *a)
 {
   struct cell_job *j = cell_find_job (c, a->job);
   return j ? j : cell_new_job (c, a->job, &a->spec, a->deadline_left_ms);
@@ -113,11 +113,11 @@
 
 /* Takes the task of A into this cell as PENDING or STANDBY.  */
 static struct cell_task *
-take_task (struct cell *c, cell_transfer *a, enum cell_task_state state)
+adopt_task (struct cell *c, cell_transfer *a, enum cell_task_state state)
 {
   struct cell_task *t = cell_find_task (c, a->task);
   if (!t)
-    t = cell_new_task (c, job_of_transfer (c, a), a->task, a->index, state);
+    t = cell_new_task (c, find_or_create_job (c, a), a->task, a->index, state);
   if (a->task_epoch > t->epoch)
     t->epoch = a->task_epoch;
   t->stop = CELL_STOP_NONE;
@@ -132,7 +132,7 @@
 
 /* True when this cell owns the task at the epoch of A or above, or has finished it.  */
 static bool
-already_taken (const struct cell_task *t, const cell_transfer *a)
+already_owned (const struct cell_task *t, const cell_transfer *a)
 {
   if (!t || t->state == CELL_STANDBY)
     return false;
@@ -155,20 +155,20 @@
     {
       r->repeated = true;
       if (!h->accepted && h->epoch == a->task_epoch)
-        cell_refuse (r, STATUS_OVERLOADED, "the task was refused at this epoch");
+        cell_set_error (r, STATUS_OVERLOADED, "the task was refused at this epoch");
       else if (!h->accepted)
-        cell_refuse (r, STATUS_STALE_EPOCH, "a later offer was refused");
+        cell_set_error (r, STATUS_STALE_EPOCH, "a later offer was refused");
       return;
     }
   const struct cell_task *t = cell_find_task (c, a->task);
-  if (already_taken (t, a))
+  if (already_owned (t, a))
     r->repeated = true;
   else if (stale_offer (t, a))
-    cell_refuse (r, STATUS_STALE_EPOCH, "the owner has gone on since this offer");
+    cell_set_error (r, STATUS_STALE_EPOCH, "the owner has gone on since this offer");
   else if (t && (t->state == CELL_PENDING || cell_task_on_worker (t)))
-    cell_refuse (r, STATUS_IN_PROGRESS, "the task is owned here until the closing is applied");
+    cell_set_error (r, STATUS_IN_PROGRESS, "the task is owned here until the closing is applied");
   else
-    take_task (c, a, CELL_PENDING);
+    adopt_task (c, a, CELL_PENDING);
   if (r->status == STATUS_OK)
     record_handoff (c, a, true, a->task);
 }
@@ -187,14 +187,14 @@
   const struct cell_handoff *h = cell_find_handoff (c, a->task);
   struct cell_task *t = cell_find_task (c, a->task);
   bool taken = h && h->accepted && h->epoch >= a->task_epoch;
-  if (taken || already_taken (t, a))
+  if (taken || already_owned (t, a))
     {
-      cell_refuse (r, STATUS_VERSION_CONFLICT, "the task was already accepted");
+      cell_set_error (r, STATUS_VERSION_CONFLICT, "the task was already accepted");
       return;
     }
   if (stale_offer (t, a))
     {
-      cell_refuse (r, STATUS_STALE_EPOCH, "the owner has gone on since this offer");
+      cell_set_error (r, STATUS_STALE_EPOCH, "the owner has gone on since this offer");
       return;
     }
   r->repeated = h && h->epoch >= a->task_epoch;
@@ -214,9 +214,9 @@
 {
   struct cell_task *t = cell_find_task (c, a->task);
   if (!t)
-    cell_refuse (r, STATUS_NOT_FOUND, "no such task");
+    cell_set_error (r, STATUS_NOT_FOUND, "no such task");
   else if (t->epoch != a->epoch)
-    cell_refuse (r, STATUS_STALE_EPOCH, "the task has another epoch");
+    cell_set_error (r, STATUS_STALE_EPOCH, "the task has another epoch");
   else if (t->state != CELL_OFFERED)
     r->repeated = true;
   else
@@ -252,8 +252,8 @@
 cell_apply_replica_add (struct cell *c, cell_transfer *a, cell_result *r)
 {
   const struct cell_handoff *h = cell_find_handoff (c, a->task);
-  const struct cell_task *made = h ? cell_find_task (c, h->local_task) : NULL;
-  if (h && (h->epoch >= a->task_epoch || (made && !cell_task_final (made))))
+  const struct cell_task *replacement = h ? cell_find_task (c, h->local_task) : NULL;
+  if (h && (h->epoch >= a->task_epoch || (replacement && !cell_task_final (replacement))))
     {
       r->repeated = true;
       r->task = h->local_task;
@@ -261,16 +261,16 @@
     }
   if (a->spec.kind != CELL_URGENT)
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, "only replicas of services are replaced");
+      cell_set_error (r, STATUS_BAD_REQUEST, "only replicas of services are replaced");
       return;
     }
-  struct cell_job *j = job_of_transfer (c, a);
+  struct cell_job *j = find_or_create_job (c, a);
   if (j->cancelled)
     {
-      cell_refuse (r, STATUS_NOT_FOUND, "the job is cancelled");
+      cell_set_error (r, STATUS_NOT_FOUND, "the job is cancelled");
       return;
     }
-  struct cell_task *t = cell_new_task (c, j, cell_take_id (c), a->index, CELL_PENDING);
+  struct cell_task *t = cell_new_task (c, j, cell_allocate_id (c), a->index, CELL_PENDING);
   t->replaces = a->task;
   cell_set_state (c, t, CELL_PENDING);
   r->task = t->id;
@@ -283,7 +283,7 @@
   struct cell_task *t = cell_find_task (c, a->task);
   if (!t)
     {
-      cell_refuse (r, STATUS_NOT_FOUND, "no such task");
+      cell_set_error (r, STATUS_NOT_FOUND, "no such task");
       return;
     }
   if (cell_task_on_worker (t) && t->stop != CELL_STOP_CANCEL && t->stop != CELL_STOP_REPLACED)
@@ -303,12 +303,12 @@
   struct cell_task *t = cell_find_task (c, a->task);
   if (!t || cell_task_final (t) || t->state == CELL_STANDBY || !t->job->spec.repeat_elsewhere)
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, "the task cannot have a standby copy");
+      cell_set_error (r, STATUS_BAD_REQUEST, "the task cannot have a standby copy");
       return;
     }
   if (t->other_cell != 0 && t->other_cell != a->to_cell)
     {
-      cell_refuse (r, STATUS_VERSION_CONFLICT, "the standby copy is in another cell");
+      cell_set_error (r, STATUS_VERSION_CONFLICT, "the standby copy is in another cell");
       return;
     }
   r->repeated = t->other_cell == a->to_cell;
@@ -320,7 +320,7 @@
 {
   if (!a->spec.repeat_elsewhere)
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, "the job is not safe to repeat elsewhere");
+      cell_set_error (r, STATUS_BAD_REQUEST, "the job is not safe to repeat elsewhere");
       return;
     }
   const struct cell_task *t = cell_find_task (c, a->task);
@@ -333,16 +333,16 @@
   else if (t && (t->epoch > a->task_epoch || t->other_epoch > a->from_epoch))
     r->repeated = true;
   else
-    take_task (c, a, CELL_STANDBY);
+    adopt_task (c, a, CELL_STANDBY);
 }
 
 static void
-start_copy (struct cell *c, struct cell_task *t, uint64_t closed_epoch)
+start_standby_copy (struct cell *c, struct cell_task *t, uint64_t closed_epoch)
 {
   uint64_t prefix = t->epoch >> CELL_EPOCH_SHIFT;
   if (prefix < closed_epoch)
     prefix = closed_epoch;
-  t->epoch = ((prefix + 1) << CELL_EPOCH_SHIFT) + CELL_COPY_EPOCH;
+  t->epoch = ((prefix + 1) << CELL_EPOCH_SHIFT) + CELL_STANDBY_EPOCH_BASE;
   t->other_cell = 0;
   cell_set_state (c, t, t->job->cancelled ? CELL_CANCELLED : CELL_PENDING);
 }
@@ -352,7 +352,7 @@
 {
   if (a->closed_ago_ms < CELL_CLOSE_WAIT_MS)
     {
-      cell_refuse (r, STATUS_OVERLOADED, "leases under the closed epoch may still run");
+      cell_set_error (r, STATUS_OVERLOADED, "leases under the closed epoch may still run");
       return;
     }
   struct cell_job *j;
@@ -364,7 +364,7 @@
       STAILQ_FOREACH (t, &j->tasks, link)
       if (t->state == CELL_STANDBY && t->other_cell == a->cell && t->other_epoch <= a->closed_epoch)
         {
-          start_copy (c, t, a->closed_epoch);
+          start_standby_copy (c, t, a->closed_epoch);
           r->count++;
         }
     }
@@ -389,7 +389,7 @@
 /* A task with a standby copy may have been started elsewhere: it is stopped and offered to the cell
    of the copy, whose answer settles who owns it.  */
 static void
-give_up_covered (struct cell *c, struct cell_task *t)
+release_covered_task (struct cell *c, struct cell_task *t)
 {
   if (t->other_cell == 0 || !t->job->spec.repeat_elsewhere)
     return;
@@ -424,6 +424,6 @@
       next = TAILQ_NEXT (j, link);
       STAILQ_FOREACH (t, &j->tasks, link)
       if (t->state != CELL_STANDBY)
-        give_up_covered (c, t);
+        release_covered_task (c, t);
     }
 }
--- a/src/cell/cell_intent.c
+++ b/src/cell/cell_intent.c
@@ -40,10 +40,10 @@
 }
 
 void
-cell_drop_intents (struct cell *c)
+cell_expire_intents (struct cell *c)
 {
   struct cell_intent *i;
-  while ((i = TAILQ_FIRST (&c->intent_list)) && c->now_ms - i->begun_ms > CELL_INTENT_LIFE_MS)
+  while ((i = TAILQ_FIRST (&c->intent_list)) && c->now_ms - i->begun_ms > CELL_INTENT_RETENTION_MS)
     free_intent (c, i);
 }
 
@@ -57,7 +57,7 @@
 
 /* The result points at the recorded answer; it is encoded before the next change.  */
 static void
-recorded_outcome (const struct cell_intent *i, cell_result *r)
+fill_recorded_outcome (const struct cell_intent *i, cell_result *r)
 {
   r->repeated = true;
   r->intent = CELL_INTENT_DONE;
@@ -96,7 +96,7 @@
       r->intent = CELL_INTENT_NEW;
     }
   else if (old && old->finished)
-    recorded_outcome (old, r);
+    fill_recorded_outcome (old, r);
   else if (old && old->attempt == a->attempt)
     r->intent = CELL_INTENT_NEW;
   else if (old)
@@ -108,7 +108,7 @@
     }
   if (c->intent_count >= CELL_MAX_INTENTS || c->intent_bytes >= CELL_MAX_INTENT_BYTES)
     {
-      cell_refuse (r, STATUS_OVERLOADED, "too many unrepeatable requests are recorded");
+      cell_set_error (r, STATUS_OVERLOADED, "too many unrepeatable requests are recorded");
       return;
     }
   struct cell_intent *i = xcalloc (1, sizeof *i);
@@ -128,17 +128,17 @@
       = (struct cell_intent *)(uintptr_t)cell_find_intent (c, a->customer, a->key);
   if (!i)
     {
-      cell_refuse (r, STATUS_NOT_FOUND, "no such intent");
+      cell_set_error (r, STATUS_NOT_FOUND, "no such intent");
       return;
     }
   if (i->attempt != a->attempt)
     {
-      cell_refuse (r, STATUS_STALE_EPOCH, "another attempt may run this request");
+      cell_set_error (r, STATUS_STALE_EPOCH, "another attempt may run this request");
       return;
     }
   if (i->finished)
     {
-      recorded_outcome (i, r);
+      fill_recorded_outcome (i, r);
       return;
     }
   i->finished = true;
@@ -149,6 +149,6 @@
   a->answer.answer_val = NULL;
   a->answer.answer_len = 0;
   c->intent_bytes += (int64_t)i->answer_len;
-  recorded_outcome (i, r);
+  fill_recorded_outcome (i, r);
   r->repeated = false;
 }
--- a/src/cell/cell_internal.h
+++ b/src/cell/cell_internal.h
@@ -8,7 +8,7 @@
 #define CELL_EPOCH_SHIFT 40 /* the cell epoch sits above the count of placements */
 /* Copies that start count from here, above the epochs that a returning owner gives under the same
    cell epoch: two offers of one task never have the same epoch.  */
-#define CELL_COPY_EPOCH (1ULL << 32)
+#define CELL_STANDBY_EPOCH_BASE (1ULL << 32)
 
 /* Jobs and tasks.  */
 struct cell_job *cell_new_job (struct cell *c, uint64_t id, cell_job_spec *spec,
@@ -18,15 +18,15 @@
 void cell_set_state (struct cell *c, struct cell_task *t,
                      enum cell_task_state state); /* Also finishes and reopens the job. */
 void cell_set_checkpoint (struct cell_task *t, const char *checkpoint,
-                          uint64_t progress_ms);         /* Ignores older progress. */
-void cell_changed (struct cell *c, struct cell_task *t); /* Tells the observer. */
-void cell_drop_finished (struct cell *c);                /* Frees old finished jobs. */
-void cell_free_all (struct cell *c);                     /* Empties the cell. */
+                          uint64_t progress_ms);                /* Ignores older progress. */
+void cell_notify_changed (struct cell *c, struct cell_task *t); /* Tells the observer. */
+void cell_expire_finished_jobs (struct cell *c);                /* Frees old finished jobs. */
+void cell_free_all (struct cell *c);                            /* Empties the cell. */
 uint64_t cell_next_epoch (const struct cell *c, uint64_t epoch);
-uint64_t cell_take_id (struct cell *c);
-void cell_end_on_worker (struct cell *c, struct cell_task *t); /* Its run is over. */
+uint64_t cell_allocate_id (struct cell *c);
+void cell_end_run (struct cell *c, struct cell_task *t); /* Its run is over. */
 bool cell_cancel_job (struct cell *c, uint64_t id); /* False when there is nothing to cancel. */
-void cell_refuse (cell_result *r, enum status_kind kind, const char *message);
+void cell_set_error (cell_result *r, enum status_kind kind, const char *message);
 
 /* Commands.  */
 void cell_apply_submit (struct cell *c, cell_job_spec *spec, cell_result *r);
@@ -50,8 +50,8 @@
 void cell_apply_epoch_closed (struct cell *c, const cell_epoch_closed *a, cell_result *r);
 void cell_apply_intent_begin (struct cell *c, const cell_intent_begin *a, cell_result *r);
 void cell_apply_intent_finish (struct cell *c, cell_intent_finish *a, cell_result *r);
-void cell_drop_handoffs (struct cell *c); /* Frees old records. */
-void cell_drop_intents (struct cell *c);  /* Frees expired intents. */
+void cell_expire_handoffs (struct cell *c); /* Frees old records. */
+void cell_expire_intents (struct cell *c);  /* Frees expired intents. */
 void cell_free_handoffs (struct cell *c);
 void cell_free_intents (struct cell *c);
 void cell_add_intent (struct cell *c, struct cell_intent *i);
--- a/src/cell/cell_map.c
+++ b/src/cell/cell_map.c
@@ -6,13 +6,13 @@
 
 #include "buffer.h"
 
-#define FIRST_SIZE 64
+#define INITIAL_BUCKETS 64
 
 void
 cell_map_init (struct cell_map *m)
 {
-  m->buckets = xcalloc (FIRST_SIZE, sizeof (void *));
-  m->size = FIRST_SIZE;
+  m->buckets = xcalloc (INITIAL_BUCKETS, sizeof (void *));
+  m->size = INITIAL_BUCKETS;
   m->count = 0;
 }
 
--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -11,15 +11,17 @@
 #include "member_sync.h"
 #include "propose_command.h"
 
-#define CONFIRM_EVERY_MS 800     /* quorum rounds while this VM leads and has workers */
-#define CONFIRMED_FOR_MS 1100    /* no node elects another leader this soon after a round began */
-#define UNCONFIRMED_HOLD_MS 1000 /* longer hold of a poll while leadership is not confirmed */
+#define CONFIRM_INTERVAL_MS 800    /* quorum rounds while this VM leads and has workers */
+#define CONFIRMATION_VALID_MS 1100 /* no node elects another leader this soon after a round began  \
+                                    */
+#define UNCONFIRMED_EXTRA_HOLD_MS 1000 /* longer hold of a poll while leadership is not confirmed  \
+                                        */
 #define PERMIT_TIMEOUT_MS 1000
-#define CLOSE_RETRY_MS 500
-#define MAX_DRAIN_ROUNDS 64 /* proposals may end at once and cause others */
+#define EPOCH_CLOSE_RETRY_MS 500
+#define MAX_PROPOSALS_PER_FLUSH 64 /* proposals may end at once and cause others */
 
 /* A proposal of the scheduler in flight.  */
-struct open_proposal
+struct pending_proposal
 {
   struct cell_service *service;
   uint64_t id;
@@ -36,13 +38,13 @@
   bool leading;  /* confirmed, own log applied */
   bool stopping; /* planned stop has begun */
   bool out;      /* the data centre is out, as last told to the scheduler */
-  bool round_open;
-  int64_t round_began_ms;
+  bool round_in_flight;
+  int64_t round_started_ms;
   int64_t confirmed_until_ms; /* as told to the scheduler */
   int64_t next_round_ms;
   bool closing_epoch;
   int64_t next_close_ms;
-  bool stopped_proposing;
+  bool stopped_in_flight;
   int64_t starts_valid_until_ms; /* of start commands sent before the data centre was out */
   uint64_t stopped_version;      /* state version that was acknowledged */
   bool transferring;
@@ -215,7 +217,7 @@
 static void
 on_proposal_done (void *arg, const struct status *st, const void *result, size_t len)
 {
-  struct open_proposal *p = arg;
+  struct pending_proposal *p = arg;
   struct cell_service *s = p->service;
   (void)result;
   (void)len;
@@ -231,7 +233,7 @@
   struct scheduler_proposal next;
   if (!scheduler_next_proposal (s->scheduler, clock_now_ms (s->config.clock), &next))
     return false;
-  struct open_proposal *p = xcalloc (1, sizeof *p);
+  struct pending_proposal *p = xcalloc (1, sizeof *p);
   p->service = s;
   p->id = next.id;
   group_propose (s->group, next.entry.data, next.entry.len, on_proposal_done, p);
@@ -240,7 +242,7 @@
 }
 
 static void
-answer_ready (struct cell_service *s)
+answer_ready_workers (struct cell_service *s)
 {
   const char *worker;
   struct held_poll p;
@@ -250,17 +252,17 @@
 }
 
 static void
-drain_scheduler (struct cell_service *s)
+flush_scheduler (struct cell_service *s)
 {
   if (!s->leading)
     return;
-  for (int i = 0; i < MAX_DRAIN_ROUNDS && propose_next (s); i++)
+  for (int i = 0; i < MAX_PROPOSALS_PER_FLUSH && propose_next (s); i++)
     ;
-  answer_ready (s);
+  answer_ready_workers (s);
 }
 
 static void
-drain_moves (struct cell_service *s, int64_t now_ms)
+flush_moves (struct cell_service *s, int64_t now_ms)
 {
   struct scheduler_move move;
   while (scheduler_next_move (s->scheduler, &move))
@@ -271,10 +273,10 @@
 lose_leadership (struct cell_service *s, int64_t now_ms)
 {
   s->leading = false;
-  permit_holder_stop (&s->permit, now_ms);
+  permit_holder_release (&s->permit, now_ms);
   scheduler_permit (s->scheduler, 0);
   scheduler_lead (s->scheduler, now_ms, false);
-  cell_transfers_lead (s->transfers, false);
+  cell_transfers_set_leader (s->transfers, false);
   refuse_all_polls (s, STATUS_NOT_LEADER, "the cell has a new leader");
 }
 
@@ -284,7 +286,7 @@
   s->leading = true;
   s->transferring = false;
   scheduler_lead (s->scheduler, now_ms, true);
-  cell_transfers_lead (s->transfers, true);
+  cell_transfers_set_leader (s->transfers, true);
   log_line (LOG_INFO, "cell %s: this VM leads in term %llu", s->config.data_centre,
             (unsigned long long)group_term (s->group));
 }
@@ -295,14 +297,14 @@
   struct cell_service *s = arg;
   (void)result;
   (void)len;
-  s->round_open = false;
+  s->round_in_flight = false;
   if (!status_ok (st) || s->stopping)
     return;
   if (!s->leading)
     gain_leadership (s, clock_now_ms (s->config.clock));
   if (!s->transferring)
     {
-      s->confirmed_until_ms = s->round_began_ms + CONFIRMED_FOR_MS;
+      s->confirmed_until_ms = s->round_started_ms + CONFIRMATION_VALID_MS;
       scheduler_confirm (s->scheduler, s->confirmed_until_ms);
     }
 }
@@ -318,11 +320,11 @@
 static void
 confirm_leadership (struct cell_service *s, int64_t now_ms)
 {
-  if (s->round_open || now_ms < s->next_round_ms || (s->leading && !has_workers (s)))
+  if (s->round_in_flight || now_ms < s->next_round_ms || (s->leading && !has_workers (s)))
     return;
-  s->round_open = true;
-  s->round_began_ms = now_ms;
-  s->next_round_ms = now_ms + CONFIRM_EVERY_MS;
+  s->round_in_flight = true;
+  s->round_started_ms = now_ms;
+  s->next_round_ms = now_ms + CONFIRM_INTERVAL_MS;
   group_confirm_leader (s->group, on_round_done, s);
 }
 
@@ -339,7 +341,7 @@
   int64_t now_ms = clock_now_ms (s->config.clock);
   const struct permit p
       = { .granted = grant->granted, .life_ms = grant->life_ms, .epoch = grant->cell_epoch };
-  permit_holder_answer (&s->permit, (int64_t)grant->asked, &p, now_ms);
+  permit_holder_handle_answer (&s->permit, (int64_t)grant->asked, &p, now_ms);
   cell_transfers_set_cells (s->transfers, grant->cells.cells_val, grant->cells.cells_len);
 }
 
@@ -373,12 +375,12 @@
 }
 
 static void
-ask_permit (struct cell_service *s, int64_t now_ms)
+request_permit (struct cell_service *s, int64_t now_ms)
 {
   if (!permit_holder_due (&s->permit, now_ms))
     return;
   permit_request request = { .data_centre = (char *)s->config.data_centre,
-                             .asked = (uint64_t)permit_holder_ask (&s->permit, now_ms),
+                             .asked = (uint64_t)permit_holder_request (&s->permit, now_ms),
                              .capacity = capacity_summary (s) };
   uint64_t leader = group_leader_node (s->config.registry_group);
   if (leader == s->config.node)
@@ -390,7 +392,7 @@
 
 /* The permit counts only for the cell epoch it was granted for.  */
 static void
-use_permit (struct cell_service *s, int64_t now_ms)
+update_start_permit (struct cell_service *s, int64_t now_ms)
 {
   int64_t left = permit_holder_left_ms (&s->permit, now_ms);
   if (s->out || s->permit.epoch != s->cell.epoch)
@@ -419,7 +421,7 @@
 acknowledge_out (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
   struct status st;
-  if (s->stopped_proposing || dc->stopped_version == dc->state_version
+  if (s->stopped_in_flight || dc->stopped_version == dc->state_version
       || start_outstanding (s, now_ms))
     return;
   registry_command command = { .request_id = (char *)"" };
@@ -427,16 +429,16 @@
   command.body.registry_body_u.stopped.data_centre = dc->name;
   command.body.registry_body_u.stopped.out_version = dc->state_version;
   command.body.registry_body_u.stopped.node = s->config.node;
-  s->stopped_proposing = true;
+  s->stopped_in_flight = true;
   if (propose_registry_command (s->config.proposer, &command, propose_clear_flag,
-                                &s->stopped_proposing, &st)
+                                &s->stopped_in_flight, &st)
       < 0)
-    s->stopped_proposing = false;
+    s->stopped_in_flight = false;
 }
 
 /* Learns that the registry closed this cell's epoch, for example while the data centre was dark. */
 static void
-follow_cell_epoch (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
+sync_cell_epoch (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
   struct buffer entry;
   if (dc->epoch <= s->cell.epoch || s->closing_epoch || now_ms < s->next_close_ms)
@@ -446,13 +448,13 @@
   buffer_init (&entry);
   cell_encode (&s->cell, now_ms, &command, 1, &entry);
   s->closing_epoch = true;
-  s->next_close_ms = now_ms + CLOSE_RETRY_MS;
+  s->next_close_ms = now_ms + EPOCH_CLOSE_RETRY_MS;
   group_propose (s->group, entry.data, entry.len, propose_clear_flag, &s->closing_epoch);
   buffer_close (&entry);
 }
 
 static void
-follow_data_centre (struct cell_service *s, int64_t now_ms)
+sync_data_centre_state (struct cell_service *s, int64_t now_ms)
 {
   const registry_data_centre *dc
       = registry_find_data_centre (s->config.registry, s->config.data_centre);
@@ -461,18 +463,18 @@
   if (dc->out && !s->out)
     {
       s->starts_valid_until_ms = now_ms + permit_holder_left_ms (&s->permit, now_ms);
-      permit_holder_stop (&s->permit, now_ms);
+      permit_holder_release (&s->permit, now_ms);
     }
   s->out = dc->out;
   scheduler_data_centre (s->scheduler, now_ms, dc->out);
   if (dc->out)
     acknowledge_out (s, dc, now_ms);
-  follow_cell_epoch (s, dc, now_ms);
+  sync_cell_epoch (s, dc, now_ms);
 }
 
 /* A cell is led best from its own data centre: a remote leader hands over to a local voter.  */
 static void
-prefer_local_leader (struct cell_service *s)
+transfer_to_local_voter (struct cell_service *s)
 {
   const registry_member *self = registry_find_node (s->config.registry, s->config.node);
   if (s->transferring || !self || strcmp (self->data_centre, s->config.data_centre) == 0)
@@ -512,12 +514,12 @@
 }
 
 static void
-release_due_polls (struct cell_service *s, int64_t now_ms)
+answer_due_polls (struct cell_service *s, int64_t now_ms)
 {
   struct held_poll p;
   /* An answer without a confirmed leader renews no lease: better to hold the poll a little longer.
    */
-  int64_t due_ms = now_ms <= s->confirmed_until_ms ? now_ms : now_ms - UNCONFIRMED_HOLD_MS;
+  int64_t due_ms = now_ms <= s->confirmed_until_ms ? now_ms : now_ms - UNCONFIRMED_EXTRA_HOLD_MS;
   while (held_polls_take_due (&s->polls, due_ms, &p))
     answer_poll (s, p.worker, p.done, p.arg);
 }
@@ -530,19 +532,19 @@
   confirm_leadership (s, now_ms);
   if (!s->leading)
     return;
-  follow_data_centre (s, now_ms);
+  sync_data_centre_state (s, now_ms);
   /* Also while the data centre is out: the answer tells which cells can take its tasks.  */
-  ask_permit (s, now_ms);
-  use_permit (s, now_ms);
+  request_permit (s, now_ms);
+  update_start_permit (s, now_ms);
   scheduler_peers (s->scheduler, cell_transfers_cells (s->transfers),
                    cell_transfers_cell_count (s->transfers));
   scheduler_tick (s->scheduler, now_ms);
-  drain_scheduler (s);
-  drain_moves (s, now_ms);
+  flush_scheduler (s);
+  flush_moves (s, now_ms);
   cell_transfers_tick (s->transfers, now_ms);
-  release_due_polls (s, now_ms);
+  answer_due_polls (s, now_ms);
   reconcile_members (s, now_ms);
-  prefer_local_leader (s);
+  transfer_to_local_voter (s);
 }
 
 void
@@ -594,7 +596,7 @@
   if (scheduler_announce (s->scheduler, now_ms, a, st) < 0)
     return -1;
   scheduler_tick (s->scheduler, now_ms);
-  drain_scheduler (s);
+  flush_scheduler (s);
   return 0;
 }
 
@@ -619,7 +621,7 @@
   if (wait)
     hold_poll (s, p->id, done, arg);
   scheduler_tick (s->scheduler, now_ms);
-  drain_scheduler (s);
+  flush_scheduler (s);
   if (!wait)
     answer_poll (s, p->id, done, arg);
   return 0;
--- a/src/cell/cell_task.c
+++ b/src/cell/cell_task.c
@@ -5,7 +5,7 @@
 #include "cell_internal.h"
 
 uint64_t
-cell_take_id (struct cell *c)
+cell_allocate_id (struct cell *c)
 {
   return (c->number << CELL_ID_SHIFT) | c->next_id++;
 }
@@ -95,7 +95,7 @@
 }
 
 void
-cell_changed (struct cell *c, struct cell_task *t)
+cell_notify_changed (struct cell *c, struct cell_task *t)
 {
   if (c->observer.task_changed)
     c->observer.task_changed (c->observer.ctx, t);
@@ -121,7 +121,7 @@
 
 /* Keeps the job in the list that matches its open tasks.  */
 static void
-move_job (struct cell *c, struct cell_job *j)
+update_job_list (struct cell *c, struct cell_job *j)
 {
   if (j->open_tasks == 0 && !j->in_finished)
     {
@@ -157,7 +157,7 @@
   if (!cell_task_final (t))
     {
       j->open_tasks++;
-      move_job (c, j);
+      update_job_list (c, j);
     }
   return t;
 }
@@ -195,8 +195,8 @@
   t->state_ms = c->now_ms;
   if (!cell_task_final (t))
     j->open_tasks++;
-  move_job (c, j);
-  cell_changed (c, t);
+  update_job_list (c, j);
+  cell_notify_changed (c, t);
 }
 
 void
@@ -210,12 +210,12 @@
 }
 
 void
-cell_drop_finished (struct cell *c)
+cell_expire_finished_jobs (struct cell *c)
 {
   struct cell_job *j;
   while ((j = TAILQ_FIRST (&c->finished))
          && (c->finished_count > CELL_MAX_FINISHED
-             || c->now_ms - j->finished_ms > CELL_FINISHED_LIFE_MS))
+             || c->now_ms - j->finished_ms > CELL_FINISHED_RETENTION_MS))
     {
       TAILQ_REMOVE (&c->finished, j, link);
       c->finished_count--;
@@ -245,7 +245,7 @@
 }
 
 static const char *
-spec_fault (const cell_job_spec *s)
+spec_error (const cell_job_spec *s)
 {
   if (s->customer[0] == '\0' || s->request_id[0] == '\0' || s->service[0] == '\0')
     return "customer, request id and service must not be empty";
@@ -259,7 +259,7 @@
 }
 
 static bool
-same_spec (const cell_job_spec *a, const cell_job_spec *b)
+specs_equal (const cell_job_spec *a, const cell_job_spec *b)
 {
   return strcmp (a->service, b->service) == 0 && a->kind == b->kind
          && a->size.millicores == b->size.millicores && a->size.memory_mb == b->size.memory_mb
@@ -268,12 +268,12 @@
 }
 
 static void
-repeat_submit (const struct cell_job *j, const cell_job_spec *spec, cell_result *r)
+answer_repeated_submit (const struct cell_job *j, const cell_job_spec *spec, cell_result *r)
 {
   r->repeated = true;
-  if (!same_spec (&j->spec, spec))
+  if (!specs_equal (&j->spec, spec))
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, "the request id belongs to another job");
+      cell_set_error (r, STATUS_BAD_REQUEST, "the request id belongs to another job");
       return;
     }
   r->job = j->id;
@@ -284,36 +284,36 @@
 void
 cell_apply_submit (struct cell *c, cell_job_spec *spec, cell_result *r)
 {
-  const char *fault = spec_fault (spec);
-  if (fault)
+  const char *error = spec_error (spec);
+  if (error)
     {
-      cell_refuse (r, STATUS_BAD_REQUEST, fault);
+      cell_set_error (r, STATUS_BAD_REQUEST, error);
       return;
     }
   const struct cell_job *old = cell_find_request (c, spec->customer, spec->request_id);
   if (old)
     {
-      repeat_submit (old, spec, r);
+      answer_repeated_submit (old, spec, r);
       return;
     }
   if (c->task_count + spec->replicas > CELL_MAX_TASKS)
     {
-      cell_refuse (r, STATUS_OVERLOADED, "the cell holds too many tasks");
+      cell_set_error (r, STATUS_OVERLOADED, "the cell holds too many tasks");
       return;
     }
-  struct cell_job *j = cell_new_job (c, cell_take_id (c), spec, (int64_t)spec->deadline_ms);
+  struct cell_job *j = cell_new_job (c, cell_allocate_id (c), spec, (int64_t)spec->deadline_ms);
   for (uint32_t i = 0; i < j->spec.replicas; i++)
     {
-      struct cell_task *t = cell_new_task (c, j, cell_take_id (c), i, CELL_PENDING);
+      struct cell_task *t = cell_new_task (c, j, cell_allocate_id (c), i, CELL_PENDING);
       if (i == 0)
         r->task = t->id;
-      cell_changed (c, t);
+      cell_notify_changed (c, t);
     }
   r->job = j->id;
 }
 
 static void
-end_pending (struct cell *c, struct cell_task *t)
+end_cancelled_task (struct cell *c, struct cell_task *t)
 {
   cell_set_state (c, t, t->job->reason ? CELL_FAILED : CELL_CANCELLED);
 }
@@ -326,7 +326,7 @@
   STAILQ_FOREACH (t, &j->tasks, link)
   {
     if (t->state == CELL_PENDING || t->state == CELL_STANDBY)
-      end_pending (c, t);
+      end_cancelled_task (c, t);
     else if (cell_task_on_worker (t))
       {
         t->stop = CELL_STOP_CANCEL;
@@ -361,7 +361,7 @@
   struct cell_job *j = cell_find_job (c, a->job);
   if (!j)
     {
-      cell_refuse (r, STATUS_NOT_FOUND, "no such job");
+      cell_set_error (r, STATUS_NOT_FOUND, "no such job");
       return;
     }
   if (j->cancelled || j->open_tasks == 0)
@@ -381,13 +381,13 @@
   struct cell_task *t = cell_find_task (c, id);
   if (!t)
     {
-      cell_refuse (r, STATUS_NOT_FOUND, "no such task");
+      cell_set_error (r, STATUS_NOT_FOUND, "no such task");
       return NULL;
     }
   r->epoch = t->epoch;
   if (t->epoch == epoch)
     return t;
-  cell_refuse (r, STATUS_STALE_EPOCH, "the task has another epoch");
+  cell_set_error (r, STATUS_STALE_EPOCH, "the task has another epoch");
   return NULL;
 }
 
@@ -399,7 +399,7 @@
     return;
   if (t->state != CELL_PENDING)
     {
-      cell_refuse (r, STATUS_STALE_EPOCH, "the task is not pending");
+      cell_set_error (r, STATUS_STALE_EPOCH, "the task is not pending");
       return;
     }
   t->epoch = cell_next_epoch (c, t->epoch);
@@ -411,12 +411,12 @@
 }
 
 void
-cell_end_on_worker (struct cell *c, struct cell_task *t)
+cell_end_run (struct cell *c, struct cell_task *t)
 {
   enum cell_stop_reason stop = t->stop;
   t->stop = CELL_STOP_NONE;
   if (t->job->cancelled)
-    end_pending (c, t);
+    end_cancelled_task (c, t);
   else if (stop == CELL_STOP_REPLACED)
     cell_set_state (c, t, CELL_MOVED);
   else if (stop == CELL_STOP_CLOSED)
@@ -426,7 +426,7 @@
 }
 
 static void
-note_failure (struct cell *c, struct cell_task *t, const cell_report *a)
+record_failure (struct cell *c, struct cell_task *t, const cell_report *a)
 {
   t->failures++;
   t->not_before_ms = c->now_ms + a->backoff_ms;
@@ -444,7 +444,7 @@
 }
 
 static void
-report_end (struct cell *c, struct cell_task *t, const cell_report *a)
+apply_final_report (struct cell *c, struct cell_task *t, const cell_report *a)
 {
   if (a->kind == CELL_REPORT_DONE)
     {
@@ -452,10 +452,10 @@
       return;
     }
   if (a->kind == CELL_REPORT_FAILED)
-    note_failure (c, t, a);
+    record_failure (c, t, a);
   else if (a->kind == CELL_REPORT_STOPPED && is_eviction (t->stop))
     t->evictions++;
-  cell_end_on_worker (c, t);
+  cell_end_run (c, t);
 }
 
 void
@@ -474,9 +474,9 @@
   if (a->kind == CELL_REPORT_RUNNING && t->state == CELL_PLACED)
     cell_set_state (c, t, CELL_RUNNING);
   else if (a->kind >= CELL_REPORT_DONE)
-    report_end (c, t, a);
+    apply_final_report (c, t, a);
   else if (t->progress_ms != before)
-    cell_changed (c, t);
+    cell_notify_changed (c, t);
   else
     r->repeated = true;
 }
@@ -503,7 +503,7 @@
   if (!t)
     return;
   if (cell_task_on_worker (t))
-    cell_end_on_worker (c, t);
+    cell_end_run (c, t);
   else
     r->repeated = true;
 }
--- a/src/cell/cell_transfers.c
+++ b/src/cell/cell_transfers.c
@@ -7,10 +7,10 @@
 #include "log.h"
 #include "propose_command.h"
 
-#define SCAN_EVERY_MS 250
-#define RETRY_MS 1000     /* before a step without an outcome is repeated */
-#define MAX_OPEN_STEPS 64 /* steps in flight at once */
-#define SPARE_STEPS 1024  /* records kept beyond two for each task */
+#define SCAN_INTERVAL_MS 250
+#define RETRY_MS 1000           /* before a step without an outcome is repeated */
+#define MAX_STEPS_IN_FLIGHT 64  /* steps in flight at once */
+#define STEP_RECORD_MARGIN 1024 /* records kept beyond two for each task */
 
 enum step_kind
 {
@@ -32,9 +32,9 @@
   uint64_t task;
   uint64_t epoch;
   uint64_t progress_ms;
-  uint64_t cell; /* the other cell */
-  bool open;     /* in flight */
-  bool done;     /* succeeded for this epoch and progress */
+  uint64_t cell;  /* the other cell */
+  bool in_flight; /* in flight */
+  bool done;      /* succeeded for this epoch and progress */
   int64_t next_ms;
 };
 
@@ -44,7 +44,7 @@
   uint64_t cell;
   uint64_t closed_epoch;
   int64_t seen_ms;
-  bool open;
+  bool in_flight;
   bool started;
   int64_t next_ms;
   struct cell_transfers *transfers;
@@ -55,7 +55,7 @@
   struct cell_transfers_config config;
   bool leader;
   struct cell_map steps;
-  unsigned open_steps;
+  unsigned steps_in_flight;
   int64_t next_scan_ms;
   struct scheduler_peer_cell cells[PEER_MAX_CELLS];
   size_t cell_count;
@@ -63,10 +63,11 @@
   size_t closed_count;
 };
 
-static struct counter moved
+static struct counter moved_total
     = { .name = "sassafras_tasks_moved_total", .help = "Tasks that another cell has taken over." };
-static struct counter standby_started = { .name = "sassafras_standby_started_total",
-                                          .help = "Standby copies started for a closed cell." };
+static struct counter standby_started_total
+    = { .name = "sassafras_standby_started_total",
+        .help = "Standby copies started for a closed cell." };
 
 struct cell_transfers *
 cell_transfers_open (const struct cell_transfers_config *config)
@@ -79,7 +80,7 @@
 
 /* Forgets all steps that are not in flight; those free themselves when they end.  */
 static void
-forget_steps (struct cell_transfers *t)
+discard_idle_steps (struct cell_transfers *t)
 {
   for (size_t i = 0; i < t->steps.size; i++)
     {
@@ -88,7 +89,7 @@
         {
           struct step *s = CELL_CONTAINER (n, struct step, node);
           next = n->next;
-          if (s->open)
+          if (s->in_flight)
             continue;
           cell_map_remove (&t->steps, n);
           free (s);
@@ -115,11 +116,11 @@
 }
 
 void
-cell_transfers_lead (struct cell_transfers *t, bool leader)
+cell_transfers_set_leader (struct cell_transfers *t, bool leader)
 {
   t->leader = leader;
   t->closed_count = 0;
-  forget_steps (t);
+  discard_idle_steps (t);
 }
 
 static uint64_t
@@ -134,7 +135,7 @@
 }
 
 static bool
-cell_is_in (const struct cell_transfers *t, uint64_t number)
+cell_in_service (const struct cell_transfers *t, uint64_t number)
 {
   const registry_data_centre *all;
   size_t n = registry_data_centres (t->config.registry, &all);
@@ -157,7 +158,7 @@
   for (size_t i = 0; i < count && i < PEER_MAX_CELLS; i++)
     {
       uint64_t number = cell_number (t, cells[i].data_centre);
-      if (number == 0 || number == t->config.cell->number || !cell_is_in (t, number))
+      if (number == 0 || number == t->config.cell->number || !cell_in_service (t, number))
         continue;
       t->cells[t->cell_count++]
           = (struct scheduler_peer_cell){ .cell = number,
@@ -187,7 +188,7 @@
 }
 
 static struct step *
-find_step (struct cell_transfers *t, enum step_kind kind, uint64_t task)
+find_or_create_step (struct cell_transfers *t, enum step_kind kind, uint64_t task)
 {
   uint64_t hash = step_hash (kind, task);
   for (struct cell_node *n = cell_map_first (&t->steps, hash); n; n = cell_map_next (n))
@@ -210,7 +211,7 @@
 {
   if (s->epoch != task->epoch || s->progress_ms != task->progress_ms)
     s->done = false;
-  if (s->open || s->done || now_ms < s->next_ms || t->open_steps >= MAX_OPEN_STEPS)
+  if (s->in_flight || s->done || now_ms < s->next_ms || t->steps_in_flight >= MAX_STEPS_IN_FLIGHT)
     return false;
   s->epoch = task->epoch;
   s->progress_ms = task->progress_ms;
@@ -235,13 +236,13 @@
   c.cell_command_u.handoff_end.task = s->task;
   c.cell_command_u.handoff_end.epoch = s->epoch;
   if (accepted)
-    counter_add (&moved, 1);
+    counter_add (&moved_total, 1);
   propose_cell_command (s->transfers->config.proposer, s->transfers->config.cell->number, &c,
                         ignore_outcome, NULL);
 }
 
 static void
-on_applied (struct step *s, const cell_result *r)
+on_step_applied (struct step *s, const cell_result *r)
 {
   bool ok = r->status == STATUS_OK;
   switch (s->kind)
@@ -269,13 +270,13 @@
 {
   struct step *s = arg;
   cell_results results;
-  s->open = false;
-  s->transfers->open_steps--;
+  s->in_flight = false;
+  s->transfers->steps_in_flight--;
   if (!status_ok (st) || !s->transfers->leader
       || cell_decode_results (result, len, &results, NULL) < 0)
     return;
   if (results.results.results_len == 1)
-    on_applied (s, &results.results.results_val[0]);
+    on_step_applied (s, &results.results.results_val[0]);
   cell_free_results (&results);
 }
 
@@ -283,8 +284,8 @@
 send_step (struct step *s, uint64_t group, cell_command *command)
 {
   s->cell = group;
-  s->open = true;
-  s->transfers->open_steps++;
+  s->in_flight = true;
+  s->transfers->steps_in_flight++;
   propose_cell_command (s->transfers->config.proposer, group, command, on_step_done, s);
 }
 
@@ -301,10 +302,11 @@
 static void
 transfer_offered (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
 {
-  bool in = cell_is_in (t, task->other_cell);
-  struct step *s = find_step (t, in ? STEP_OFFER : STEP_WITHDRAW, task->id);
+  bool in_service = cell_in_service (t, task->other_cell);
+  struct step *s = find_or_create_step (t, in_service ? STEP_OFFER : STEP_WITHDRAW, task->id);
   if (step_due (t, s, task, now_ms))
-    send_transfer (s, task->other_cell, in ? CELL_HANDOFF_ACCEPT : CELL_HANDOFF_REFUSE, task);
+    send_transfer (s, task->other_cell, in_service ? CELL_HANDOFF_ACCEPT : CELL_HANDOFF_REFUSE,
+                   task);
 }
 
 void
@@ -318,7 +320,7 @@
       transfer_offered (t, task, now_ms);
       return;
     }
-  struct step *s = find_step (t, STEP_REPLACE, task->id);
+  struct step *s = find_or_create_step (t, STEP_REPLACE, task->id);
   if (step_due (t, s, task, now_ms))
     send_transfer (s, s->cell ? s->cell : move->to_cell, CELL_REPLICA_ADD, task);
 }
@@ -326,7 +328,7 @@
 static void
 report_replaced (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
 {
-  struct step *s = find_step (t, STEP_REPLACED, task->id);
+  struct step *s = find_or_create_step (t, STEP_REPLACED, task->id);
   if (!step_due (t, s, task, now_ms))
     return;
   cell_command c = { .kind = CELL_REPLICA_REPLACED };
@@ -337,9 +339,10 @@
 /* Keeps the standby copy of a task up to date.  The copy's cell is recorded here first, so that a
    later leader of this cell knows that the task may be started there.  */
 static void
-keep_standby (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
+update_standby (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
 {
-  struct step *s = find_step (t, task->other_cell ? STEP_PUT_STANDBY : STEP_MARK_STANDBY, task->id);
+  struct step *s
+      = find_or_create_step (t, task->other_cell ? STEP_PUT_STANDBY : STEP_MARK_STANDBY, task->id);
   if (!step_due (t, s, task, now_ms))
     return;
   if (task->other_cell)
@@ -365,7 +368,7 @@
   {
     if (task->other_cell == 0 || task->state == CELL_MOVED)
       continue;
-    struct step *s = find_step (t, STEP_DROP_STANDBY, task->id);
+    struct step *s = find_or_create_step (t, STEP_DROP_STANDBY, task->id);
     if (!step_due (t, s, task, now_ms))
       return;
     cell_command c = { .kind = CELL_STANDBY_DROP };
@@ -383,7 +386,7 @@
     report_replaced (t, task, now_ms);
   else if (spec->kind == CELL_BATCH && spec->repeat_elsewhere && !cell_task_final (task)
            && task->state != CELL_STANDBY)
-    keep_standby (t, task, now_ms);
+    update_standby (t, task, now_ms);
 }
 
 static void
@@ -404,13 +407,13 @@
 {
   struct closed_cell *c = arg;
   cell_results results;
-  c->open = false;
+  c->in_flight = false;
   if (!status_ok (st) || cell_decode_results (result, len, &results, NULL) < 0)
     return;
   if (results.results.results_len == 1 && results.results.results_val[0].status == STATUS_OK)
     {
       c->started = true;
-      counter_add (&standby_started, results.results.results_val[0].count);
+      counter_add (&standby_started_total, results.results.results_val[0].count);
       log_line (LOG_INFO, "cell epoch %llu of cell %llu is closed: %u standby copies started",
                 (unsigned long long)c->closed_epoch, (unsigned long long)c->cell,
                 results.results.results_val[0].count);
@@ -419,12 +422,13 @@
 }
 
 static struct closed_cell *
-find_closed (struct cell_transfers *t, uint64_t cell, uint64_t closed_epoch, int64_t now_ms)
+find_or_create_closed (struct cell_transfers *t, uint64_t cell, uint64_t closed_epoch,
+                       int64_t now_ms)
 {
   for (size_t i = 0; i < t->closed_count; i++)
     if (t->closed[i].cell == cell)
       {
-        if (t->closed[i].closed_epoch != closed_epoch && !t->closed[i].open)
+        if (t->closed[i].closed_epoch != closed_epoch && !t->closed[i].in_flight)
           t->closed[i] = (struct closed_cell){ cell, closed_epoch, now_ms, false, false, 0, t };
         return &t->closed[i];
       }
@@ -436,7 +440,7 @@
 /* Starts the copies of cells whose epoch the registry has closed, once the leases under it have
    surely expired.  The time is counted from when this leader learned of the closing.  */
 static void
-start_closed (struct cell_transfers *t, int64_t now_ms)
+start_closed_cells (struct cell_transfers *t, int64_t now_ms)
 {
   const registry_data_centre *all;
   size_t n = registry_data_centres (t->config.registry, &all);
@@ -444,15 +448,15 @@
     {
       if (all[i].epoch <= 1 || i + 1 == t->config.cell->number)
         continue;
-      struct closed_cell *c = find_closed (t, i + 1, all[i].epoch - 1, now_ms);
-      int64_t ago = now_ms - c->seen_ms;
-      if (c->started || c->open || ago < CELL_CLOSE_WAIT_MS || now_ms < c->next_ms)
+      struct closed_cell *c = find_or_create_closed (t, i + 1, all[i].epoch - 1, now_ms);
+      int64_t elapsed_ms = now_ms - c->seen_ms;
+      if (c->started || c->in_flight || elapsed_ms < CELL_CLOSE_WAIT_MS || now_ms < c->next_ms)
         continue;
       cell_command command = { .kind = CELL_STANDBY_START };
       command.cell_command_u.standby_start.cell = c->cell;
       command.cell_command_u.standby_start.closed_epoch = c->closed_epoch;
-      command.cell_command_u.standby_start.closed_ago_ms = (uint64_t)ago;
-      c->open = true;
+      command.cell_command_u.standby_start.closed_ago_ms = (uint64_t)elapsed_ms;
+      c->in_flight = true;
       c->next_ms = now_ms + RETRY_MS;
       propose_cell_command (t->config.proposer, t->config.cell->number, &command,
                             on_standby_started, c);
@@ -464,9 +468,9 @@
 {
   if (!t->leader || now_ms < t->next_scan_ms)
     return;
-  t->next_scan_ms = now_ms + SCAN_EVERY_MS;
-  if (t->steps.count > 2 * (size_t)t->config.cell->task_count + SPARE_STEPS)
-    forget_steps (t);
+  t->next_scan_ms = now_ms + SCAN_INTERVAL_MS;
+  if (t->steps.count > 2 * (size_t)t->config.cell->task_count + STEP_RECORD_MARGIN)
+    discard_idle_steps (t);
   scan_jobs (t, now_ms);
-  start_closed (t, now_ms);
+  start_closed_cells (t, now_ms);
 }
--- a/src/cell/cell_transfers.h
+++ b/src/cell/cell_transfers.h
@@ -36,7 +36,8 @@
 struct cell_transfers *
 cell_transfers_open (const struct cell_transfers_config *config); /* A follower. */
 void cell_transfers_close (struct cell_transfers *t);             /* Frees it. */
-void cell_transfers_lead (struct cell_transfers *t, bool leader); /* Leadership gained or lost. */
+void cell_transfers_set_leader (struct cell_transfers *t,
+                                bool leader); /* Leadership gained or lost. */
 void cell_transfers_set_cells (struct cell_transfers *t, const cell_capacity *cells,
                                size_t count); /* Summaries of all cells, from a grant. */
 const struct scheduler_peer_cell *
--- a/src/cell/held_polls.c
+++ b/src/cell/held_polls.c
@@ -20,7 +20,7 @@
 }
 
 static void
-take_entry (struct held_polls *h, struct held_poll_entry *e, struct held_poll *out)
+remove_entry (struct held_polls *h, struct held_poll_entry *e, struct held_poll *out)
 {
   *out = e->poll;
   cell_map_remove (&h->by_worker, &e->node);
@@ -34,7 +34,7 @@
   struct held_poll_entry *e;
   struct held_poll poll;
   while ((e = TAILQ_FIRST (&h->order)))
-    take_entry (h, e, &poll);
+    remove_entry (h, e, &poll);
   cell_map_close (&h->by_worker);
 }
 
@@ -56,7 +56,7 @@
       struct held_poll_entry *e = CELL_CONTAINER (n, struct held_poll_entry, node);
       if (strcmp (e->poll.worker, worker) != 0)
         continue;
-      take_entry (h, e, out);
+      remove_entry (h, e, out);
       return true;
     }
   return false;
@@ -68,6 +68,6 @@
   struct held_poll_entry *e = TAILQ_FIRST (&h->order);
   if (!e || e->poll.until_ms > now_ms)
     return false;
-  take_entry (h, e, out);
+  remove_entry (h, e, out);
   return true;
 }
--- a/src/cell/home_cell.c
+++ b/src/cell/home_cell.c
@@ -5,7 +5,7 @@
 #include <xxhash.h>
 
 static uint64_t
-score (const char *data_centre, const char *customer, const char *request_id)
+rendezvous_score (const char *data_centre, const char *customer, const char *request_id)
 {
   uint64_t h = XXH64 (data_centre, strlen (data_centre) + 1, 0);
   h = XXH64 (customer, strlen (customer) + 1, h);
@@ -21,7 +21,7 @@
   uint64_t best_score = 0;
   for (size_t i = 0; i < n; i++)
     {
-      uint64_t s = score (all[i].name, customer, request_id);
+      uint64_t s = rendezvous_score (all[i].name, customer, request_id);
       if (!all[i].home || (best != 0 && s <= best_score))
         continue;
       best = i + 1;
--- a/src/registry/permit.c
+++ b/src/registry/permit.c
@@ -19,9 +19,9 @@
 {
   bool leading;
   int64_t elected_ms;
-  bool confirmed;          /* a round of this leadership was answered by a quorum */
-  int64_t confirmed_ms;    /* when the latest such round began */
-  int64_t inherited_until; /* permits of earlier leaders have surely expired then */
+  bool confirmed;                 /* a round of this leadership was answered by a quorum */
+  int64_t confirmed_ms;           /* when the latest such round began */
+  int64_t prior_permits_until_ms; /* permits of earlier leaders have surely expired then */
   LIST_HEAD (grant_list, grant) grants;
 };
 
@@ -34,7 +34,7 @@
 }
 
 static void
-drop_grants (struct permit_granter *g)
+free_grants (struct permit_granter *g)
 {
   struct grant *grant;
   while ((grant = LIST_FIRST (&g->grants)))
@@ -49,18 +49,18 @@
 {
   if (!g)
     return;
-  drop_grants (g);
+  free_grants (g);
   free (g);
 }
 
 void
 permit_granter_lead (struct permit_granter *g, int64_t now_ms)
 {
-  drop_grants (g);
+  free_grants (g);
   g->leading = true;
   g->confirmed = false;
   g->elected_ms = now_ms;
-  g->inherited_until = now_ms + PERMIT_LIFE_MS;
+  g->prior_permits_until_ms = now_ms + PERMIT_LIFE_MS;
 }
 
 void
@@ -87,7 +87,7 @@
 }
 
 static void
-drop_expired (struct permit_granter *g, int64_t now_ms)
+free_expired_grants (struct permit_granter *g, int64_t now_ms)
 {
   struct grant *grant = LIST_FIRST (&g->grants);
   while (grant)
@@ -103,7 +103,7 @@
 }
 
 static void
-remember (struct permit_granter *g, const char *data_centre, uint64_t node, int64_t expires_ms)
+record_grant (struct permit_granter *g, const char *data_centre, uint64_t node, int64_t expires_ms)
 {
   struct grant *grant;
   LIST_FOREACH (grant, &g->grants, link)
@@ -121,17 +121,17 @@
 }
 
 struct permit
-permit_granter_ask (struct permit_granter *g, const registry_data_centre *dc, uint64_t node,
-                    int64_t now_ms)
+permit_granter_request (struct permit_granter *g, const registry_data_centre *dc, uint64_t node,
+                        int64_t now_ms)
 {
   struct permit permit = { 0 };
   int64_t life_ms = g->confirmed ? PERMIT_LIFE_MS - (now_ms - g->confirmed_ms) : 0;
-  drop_expired (g, now_ms);
+  free_expired_grants (g, now_ms);
   if (life_ms > PERMIT_LIFE_MS)
     life_ms = PERMIT_LIFE_MS;
   if (!g->leading || !dc || dc->out || life_ms <= 0)
     return permit;
-  remember (g, dc->name, node, now_ms + life_ms);
+  record_grant (g, dc->name, node, now_ms + life_ms);
   permit.granted = true;
   permit.life_ms = (uint32_t)life_ms;
   permit.epoch = dc->epoch;
@@ -152,7 +152,7 @@
 {
   struct permit_in_force answer = { .reason = REGISTRY_NOT_IN_FORCE };
   const struct grant *grant;
-  int64_t until = g->inherited_until;
+  int64_t until = g->prior_permits_until_ms;
   if (!dc->out)
     return answer;
   if (dc->in_force != REGISTRY_NOT_IN_FORCE)
@@ -199,29 +199,29 @@
 void
 permit_holder_init (struct permit_holder *h)
 {
-  h->asked_ms = INT64_MIN;
-  h->next_ask_ms = INT64_MIN;
+  h->requested_ms = INT64_MIN;
+  h->next_request_ms = INT64_MIN;
   h->valid_until_ms = INT64_MIN;
-  h->void_before_ms = INT64_MIN;
+  h->ignored_until_ms = INT64_MIN;
   h->epoch = 0;
 }
 
 bool
 permit_holder_due (const struct permit_holder *h, int64_t now_ms)
 {
-  return now_ms >= h->next_ask_ms;
+  return now_ms >= h->next_request_ms;
 }
 
 int64_t
-permit_holder_ask (struct permit_holder *h, int64_t now_ms)
+permit_holder_request (struct permit_holder *h, int64_t now_ms)
 {
-  h->asked_ms = now_ms;
-  h->next_ask_ms = now_ms + PERMIT_ASK_MS;
+  h->requested_ms = now_ms;
+  h->next_request_ms = now_ms + PERMIT_RENEW_MS;
   return now_ms;
 }
 
 static void
-take (struct permit_holder *h, int64_t asked, const struct permit *p)
+apply_grant (struct permit_holder *h, int64_t asked, const struct permit *p)
 {
   int64_t life_ms = p->life_ms < PERMIT_LIFE_MS ? (int64_t)p->life_ms : PERMIT_LIFE_MS;
   int64_t until = asked + life_ms - PERMIT_DRIFT_MS;
@@ -233,22 +233,22 @@
 }
 
 void
-permit_holder_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
-                      int64_t now_ms)
+permit_holder_handle_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
+                             int64_t now_ms)
 {
-  if (asked > h->asked_ms || asked <= h->void_before_ms)
+  if (asked > h->requested_ms || asked <= h->ignored_until_ms)
     return;
   if (p->granted)
-    take (h, asked, p);
-  else if (h->next_ask_ms > now_ms + PERMIT_RETRY_MS)
-    h->next_ask_ms = now_ms + PERMIT_RETRY_MS;
+    apply_grant (h, asked, p);
+  else if (h->next_request_ms > now_ms + PERMIT_RETRY_MS)
+    h->next_request_ms = now_ms + PERMIT_RETRY_MS;
 }
 
 void
-permit_holder_stop (struct permit_holder *h, int64_t now_ms)
+permit_holder_release (struct permit_holder *h, int64_t now_ms)
 {
   h->valid_until_ms = INT64_MIN;
-  h->void_before_ms = now_ms;
+  h->ignored_until_ms = now_ms;
 }
 
 int64_t
--- a/src/registry/permit.h
+++ b/src/registry/permit.h
@@ -22,9 +22,9 @@
 #include "registry_proto.h"
 
 #define PERMIT_LIFE_MS 3000
-#define PERMIT_ASK_MS 1000  /* between two requests of a holder */
-#define PERMIT_RETRY_MS 300 /* after a request that was not answered with a grant */
-#define PERMIT_DRIFT_MS 30  /* the holder gives up this early: clock rates may differ by 1% */
+#define PERMIT_RENEW_MS 1000 /* between two requests of a holder */
+#define PERMIT_RETRY_MS 300  /* after a request that was not answered with a grant */
+#define PERMIT_DRIFT_MS 30   /* the holder gives up this early: clock rates may differ by 1% */
 
 struct permit_granter; /* soft state of the registry leader */
 
@@ -52,8 +52,8 @@
 bool permit_granter_leading (const struct permit_granter *g); /* Between lead and step_down. */
 void permit_granter_confirm (struct permit_granter *g,
                              int64_t began_ms); /* A quorum answered the round begun then. */
-struct permit permit_granter_ask (struct permit_granter *g, const registry_data_centre *dc,
-                                  uint64_t node, int64_t now_ms); /* DC may be NULL: refused. */
+struct permit permit_granter_request (struct permit_granter *g, const registry_data_centre *dc,
+                                      uint64_t node, int64_t now_ms); /* DC may be NULL: refused. */
 struct permit_in_force permit_granter_in_force (const struct permit_granter *g,
                                                 const registry_data_centre *dc, int64_t now_ms);
 
@@ -65,21 +65,21 @@
 /* The holder: the leader of a cell.  */
 struct permit_holder
 {
-  int64_t asked_ms;    /* last request; INT64_MIN before the first */
-  int64_t next_ask_ms; /* when to ask again */
+  int64_t requested_ms;    /* last request; INT64_MIN before the first */
+  int64_t next_request_ms; /* when to ask again */
   int64_t valid_until_ms;
-  uint64_t epoch;         /* of the last grant */
-  int64_t void_before_ms; /* answers to requests asked at or before this are ignored */
+  uint64_t epoch;           /* of the last grant */
+  int64_t ignored_until_ms; /* answers to requests asked at or before this are ignored */
 };
 
 void permit_holder_init (struct permit_holder *h); /* Holds nothing and asks at once. */
 bool permit_holder_due (const struct permit_holder *h, int64_t now_ms); /* Time to ask. */
-int64_t permit_holder_ask (struct permit_holder *h,
-                           int64_t now_ms); /* Notes the request; returns the token to send. */
-void permit_holder_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
-                           int64_t now_ms); /* ASKED is the echoed token. */
-void permit_holder_stop (struct permit_holder *h,
-                         int64_t now_ms); /* Data centre out or leadership lost: gives it up. */
+int64_t permit_holder_request (struct permit_holder *h,
+                               int64_t now_ms); /* Notes the request; returns the token to send. */
+void permit_holder_handle_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
+                                  int64_t now_ms); /* ASKED is the echoed token. */
+void permit_holder_release (struct permit_holder *h,
+                            int64_t now_ms); /* Data centre out or leadership lost: gives it up. */
 int64_t permit_holder_left_ms (const struct permit_holder *h,
                                int64_t now_ms); /* Life left; 0: start nothing. */
 
--- a/src/registry/plans.c
+++ b/src/registry/plans.c
@@ -85,15 +85,15 @@
 void
 plans_unref (const struct plans *p)
 {
-  struct plans *own = (struct plans *)p;
-  if (!own || --own->refs > 0)
+  struct plans *writable = (struct plans *)p;
+  if (!writable || --writable->refs > 0)
     return;
-  free (own->plans);
-  free (own->shapes);
-  free (own->customers);
-  free (own->by_plan.slots);
-  free (own->by_customer.slots);
-  free (own);
+  free (writable->plans);
+  free (writable->shapes);
+  free (writable->customers);
+  free (writable->by_plan.slots);
+  free (writable->by_customer.slots);
+  free (writable);
 }
 
 const struct plan *
@@ -149,17 +149,17 @@
 }
 
 static bool
-size_fits (const struct plan_size *task, const struct plan_size *room)
+task_fits (const struct plan_size *task, const struct plan_size *limit)
 {
-  return task->millicores <= room->millicores && task->memory_mb <= room->memory_mb
-         && task->accelerators <= room->accelerators;
+  return task->millicores <= limit->millicores && task->memory_mb <= limit->memory_mb
+         && task->accelerators <= limit->accelerators;
 }
 
 static bool
-fits_some_shape (const struct plans *p, const struct plan_size *task)
+fits_any_shape (const struct plans *p, const struct plan_size *task)
 {
   for (size_t i = 0; i < p->shape_count; i++)
-    if (size_fits (task, &p->shapes[i].size))
+    if (task_fits (task, &p->shapes[i].size))
       return true;
   return p->shape_count == 0;
 }
@@ -167,7 +167,7 @@
 /* Batch tasks count against the plan's processors and memory, urgent tasks against its
    concurrency; accelerators are limited for both.  */
 static bool
-fits_totals (const struct plan *plan, const struct plan_size *task, bool urgent)
+fits_plan_limits (const struct plan *plan, const struct plan_size *task, bool urgent)
 {
   if (task->accelerators > plan->accelerators)
     return false;
@@ -181,11 +181,11 @@
                  bool urgent, struct status *st)
 {
   const char *reason = NULL;
-  if (!fits_totals (plan, task, urgent))
+  if (!fits_plan_limits (plan, task, urgent))
     reason = "is over what the plan may use";
-  else if (plan->has_largest_task && !size_fits (task, &plan->largest_task))
+  else if (plan->has_largest_task && !task_fits (task, &plan->largest_task))
     reason = "is over the largest task of the plan";
-  else if (!fits_some_shape (p, task))
+  else if (!fits_any_shape (p, task))
     reason = "fits no worker shape";
   if (!reason)
     return true;
--- a/src/registry/plans_parse.c
+++ b/src/registry/plans_parse.c
@@ -44,21 +44,21 @@
 static const char *const plans_file_fields[] = { "plans", "worker_shapes", NULL };
 static const char *const customers_file_fields[] = { "customers", NULL };
 
-#define COUNT(array) (sizeof (array) / sizeof *(array))
+#define ARRAY_SIZE(array) (sizeof (array) / sizeof *(array))
 
 /* True when every number is present and in range.  */
 static bool
 read_bounds (struct json_check *c, const json_t *object, const struct bound *bounds, size_t count,
              void *out)
 {
-  bool good = true;
+  bool valid = true;
   for (size_t i = 0; i < count; i++)
     {
       int64_t *field = (int64_t *)((char *)out + bounds[i].offset);
       if (!json_check_int (c, object, bounds[i].key, bounds[i].lo, bounds[i].hi, field))
-        good = false;
+        valid = false;
     }
-  return good;
+  return valid;
 }
 
 static void
@@ -75,7 +75,7 @@
       if (json_check_object (c, item, shape_fields))
         {
           bool named = json_check_name (c, item, "name", shape->name, sizeof shape->name);
-          read_bounds (c, item, size_bounds, COUNT (size_bounds), &shape->size);
+          read_bounds (c, item, size_bounds, ARRAY_SIZE (size_bounds), &shape->size);
           for (size_t k = 0; named && k < p->shape_count; k++)
             if (strcmp (p->shapes[k].name, shape->name) == 0)
               json_check_fault_at (c, "name", "another worker shape has the same name");
@@ -87,13 +87,13 @@
 }
 
 static bool
-some_shape_fits (const struct plans *p, const struct plan_size *task)
+fits_any_shape (const struct plans *p, const struct plan_size *task)
 {
   for (size_t i = 0; i < p->shape_count; i++)
     {
-      const struct plan_size *room = &p->shapes[i].size;
-      if (task->millicores <= room->millicores && task->memory_mb <= room->memory_mb
-          && task->accelerators <= room->accelerators)
+      const struct plan_size *limit = &p->shapes[i].size;
+      if (task->millicores <= limit->millicores && task->memory_mb <= limit->memory_mb
+          && task->accelerators <= limit->accelerators)
         return true;
     }
   return p->shape_count == 0;
@@ -115,11 +115,11 @@
         c, plan->requests_per_s > 0 ? "urgent_concurrency" : "requests_per_s",
         "no request could ever run: urgent_concurrency and requests_per_s must both be zero "
         "or both be above zero");
-  if (plan->accelerators > 0 && !some_shape_fits (p, &accelerator))
+  if (plan->accelerators > 0 && !fits_any_shape (p, &accelerator))
     json_check_fault_at (c, "accelerators", "no worker shape has accelerators");
   if (!plan->has_largest_task)
     return;
-  if (!some_shape_fits (p, task))
+  if (!fits_any_shape (p, task))
     json_check_fault_at (c, "largest_task", "fits no worker shape, so no worker could ever run it");
   if (plan->batch_millicores > 0
       && (task->millicores > plan->batch_millicores || task->memory_mb > plan->memory_mb))
@@ -133,15 +133,15 @@
 read_largest_task (struct json_check *c, const json_t *item, struct plan *plan)
 {
   const json_t *task = json_object_get (item, "largest_task");
-  bool good = true;
+  bool valid = true;
   plan->has_largest_task = task != NULL;
   if (!task)
     return true;
   json_check_key (c, "largest_task");
-  good = json_check_object (c, task, size_fields)
-         && read_bounds (c, task, size_bounds, COUNT (size_bounds), &plan->largest_task);
+  valid = json_check_object (c, task, size_fields)
+          && read_bounds (c, task, size_bounds, ARRAY_SIZE (size_bounds), &plan->largest_task);
   json_check_leave (c);
-  return good;
+  return valid;
 }
 
 static void
@@ -152,10 +152,10 @@
   if (!json_check_object (c, item, plan_fields))
     return;
   bool named = json_check_name (c, item, "id", plan->id, sizeof plan->id);
-  bool good = read_bounds (c, item, plan_bounds, COUNT (plan_bounds), plan);
+  bool valid = read_bounds (c, item, plan_bounds, ARRAY_SIZE (plan_bounds), plan);
   if (!read_largest_task (c, item, plan))
-    good = false;
-  if (good)
+    valid = false;
+  if (valid)
     check_satisfiable (c, p, plan);
   if (!named)
     return;
@@ -187,7 +187,7 @@
 
 /* KNOWN is false when the list of plans could not be read; plan names are not judged then.  */
 static void
-read_customer (struct json_check *c, const json_t *item, struct plans *p, bool known)
+read_customer (struct json_check *c, const json_t *item, struct plans *p, bool plans_known)
 {
   struct customer *customer = &p->customers[p->customer_count];
   char plan[PLANS_NAME_BYTES];
@@ -197,7 +197,7 @@
   bool named = json_check_name (c, item, "id", customer->id, sizeof customer->id);
   if (json_check_name (c, item, "plan", plan, sizeof plan))
     customer->plan = plans_find (p, plan);
-  if (!customer->plan && known && plan[0])
+  if (!customer->plan && plans_known && plan[0])
     {
       json_check_fault_at (c, "plan", "unknown plan '%s'", plan);
     }
@@ -211,7 +211,7 @@
 }
 
 static void
-read_customers_file (struct json_check *c, const json_t *root, struct plans *p, bool known)
+read_customers_file (struct json_check *c, const json_t *root, struct plans *p, bool plans_known)
 {
   if (!json_check_object (c, root, customers_file_fields))
     return;
@@ -222,15 +222,15 @@
   for (size_t i = 0; i < json_array_size (list); i++)
     {
       json_check_index (c, i);
-      read_customer (c, json_array_get (list, i), p, known);
+      read_customer (c, json_array_get (list, i), p, plans_known);
       json_check_leave (c);
     }
   json_check_leave (c);
 }
 
 static void
-check_total (const struct json_source *plans, const struct json_source *customers,
-             struct json_faults *faults)
+check_total_size (const struct json_source *plans, const struct json_source *customers,
+                  struct json_faults *faults)
 {
   struct json_check c = { .source = plans, .faults = faults };
   if (plans->len + customers->len > PLANS_LIST_BYTES)
@@ -252,9 +252,9 @@
   struct plans *p = xcalloc (1, sizeof *p);
   size_t before = fault_total (faults);
   p->refs = 1;
-  check_total (plans, customers, faults);
+  check_total_size (plans, customers, faults);
   json_t *root = json_check_load (&check, plans, faults);
-  bool known = json_is_array (json_object_get (root, "plans"));
+  bool plans_known = json_is_array (json_object_get (root, "plans"));
   if (root)
     read_plans_file (&check, root, p);
   if (!p->by_plan.slots)
@@ -262,7 +262,7 @@
   json_decref (root);
   root = json_check_load (&check, customers, faults);
   if (root)
-    read_customers_file (&check, root, p, known);
+    read_customers_file (&check, root, p, plans_known);
   json_decref (root);
   if (fault_total (faults) == before)
     return p;
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -39,7 +39,7 @@
 /* Parses the lists of the state.  Lists that this program cannot read, which happens when a newer
    program accepted them during an upgrade, leave the previous plans in force.  */
 static void
-use_lists (struct registry *r)
+parse_lists (struct registry *r)
 {
   struct json_faults faults = { 0 };
   const char *plans_text = text_or_empty (r->state.plans);
@@ -68,10 +68,10 @@
 }
 
 static void
-notify (struct registry *r, unsigned changes)
+notify_observer (struct registry *r, unsigned changes)
 {
   if (changes & REGISTRY_CHANGED_LISTS)
-    use_lists (r);
+    parse_lists (r);
   if (changes != 0 && r->observer)
     r->observer (r->observer_arg, r, changes);
 }
@@ -123,7 +123,7 @@
 
 /* What a request id stands for: the command without its time, which differs between repeats.  */
 static uint64_t
-digest_of (const void *command, size_t len)
+command_digest (const void *command, size_t len)
 {
   const size_t skip = sizeof (int64_t);
   return len > skip ? XXH3_64bits ((const char *)command + skip, len - skip) : 0;
@@ -145,8 +145,8 @@
 
 /* Answers from the stored answer; false when the request id is new.  */
 static bool
-answer_repeat (struct registry *r, const registry_command *command, uint64_t digest,
-               struct buffer *out)
+answer_repeated_command (struct registry *r, const registry_command *command, uint64_t digest,
+                         struct buffer *out)
 {
   const registry_answer *stored = find_answer (&r->answers, command->request_id);
   registry_result refusal = { 0 };
@@ -158,16 +158,17 @@
       encode_result (&stored->result, out);
       return true;
     }
-  registry_refuse (&refusal, STATUS_BAD_REQUEST,
-                   "request id '%s' was already used for a different command", command->request_id);
+  registry_set_status (&refusal, STATUS_BAD_REQUEST,
+                       "request id '%s' was already used for a different command",
+                       command->request_id);
   encode_result (&refusal, out);
   registry_result_free (&refusal);
   return true;
 }
 
 static void
-apply_new (struct registry *r, uint64_t index, const registry_command *command, uint64_t digest,
-           struct buffer *out)
+apply_new_command (struct registry *r, uint64_t index, const registry_command *command,
+                   uint64_t digest, struct buffer *out)
 {
   registry_answer answer = { 0 };
   answer.result.accepted_ms = command->time_ms;
@@ -186,15 +187,15 @@
     }
   else
     registry_result_free (&answer.result);
-  notify (r, changes);
+  notify_observer (r, changes);
 }
 
 static void
-refuse_entry (enum status_kind kind, const char *reason, uint64_t index, struct buffer *out)
+reject_entry (enum status_kind kind, const char *reason, uint64_t index, struct buffer *out)
 {
   registry_result result = { 0 };
   result.index = index;
-  registry_refuse (&result, kind, "%s", reason);
+  registry_set_status (&result, kind, "%s", reason);
   encode_result (&result, out);
   registry_result_free (&result);
 }
@@ -208,19 +209,19 @@
   if (index <= r->state.applied)
     {
       counter_add (&stale_total, 1);
-      refuse_entry (STATUS_INTERNAL, "this index was already applied", index, out);
+      reject_entry (STATUS_INTERNAL, "this index was already applied", index, out);
       return;
     }
   r->state.applied = index;
   counter_add (&commands_total, 1);
   xdrmem_create (&xdrs, (char *)data, (unsigned)len, XDR_DECODE);
-  bool good = xdr_registry_command (&xdrs, &command) && xdr_getpos (&xdrs) == len;
+  bool valid = xdr_registry_command (&xdrs, &command) && xdr_getpos (&xdrs) == len;
   xdr_destroy (&xdrs);
-  uint64_t digest = digest_of (data, len);
-  if (!good)
-    refuse_entry (STATUS_BAD_REQUEST, "the command cannot be decoded", index, out);
-  else if (!command.request_id[0] || !answer_repeat (r, &command, digest, out))
-    apply_new (r, index, &command, digest, out);
+  uint64_t digest = command_digest (data, len);
+  if (!valid)
+    reject_entry (STATUS_BAD_REQUEST, "the command cannot be decoded", index, out);
+  else if (!command.request_id[0] || !answer_repeated_command (r, &command, digest, out))
+    apply_new_command (r, index, &command, digest, out);
   xdr_free ((xdrproc_t)xdr_registry_command, (char *)&command);
 }
 
@@ -257,11 +258,11 @@
   XDR xdrs;
   memset (s, 0, sizeof *s);
   xdrmem_create (&xdrs, (char *)data, (unsigned)len, XDR_DECODE);
-  bool good = xdr_registry_snapshot (&xdrs, s) && xdr_getpos (&xdrs) == len;
+  bool valid = xdr_registry_snapshot (&xdrs, s) && xdr_getpos (&xdrs) == len;
   xdr_destroy (&xdrs);
-  if (good && s->format == REGISTRY_SNAPSHOT_FORMAT)
+  if (valid && s->format == REGISTRY_SNAPSHOT_FORMAT)
     return 0;
-  if (good)
+  if (valid)
     status_set (st, STATUS_JOURNAL_DAMAGED, "registry snapshot has format %u, not %u", s->format,
                 REGISTRY_SNAPSHOT_FORMAT);
   else
@@ -295,7 +296,7 @@
   s.answers.answers_len = 0;
   xdr_free ((xdrproc_t)xdr_registry_snapshot, (char *)&r->state);
   r->state = s;
-  notify (r, ALL_CHANGES);
+  notify_observer (r, ALL_CHANGES);
   return 0;
 }
 
@@ -365,7 +366,7 @@
 const registry_data_centre *
 registry_find_data_centre (const struct registry *r, const char *name)
 {
-  return registry_data_centre_of ((struct registry *)r, name);
+  return registry_data_centre_entry ((struct registry *)r, name);
 }
 
 size_t
@@ -378,7 +379,7 @@
 const registry_member *
 registry_find_member (const struct registry *r, const char *vm)
 {
-  return registry_member_of ((struct registry *)r, vm);
+  return registry_member_entry ((struct registry *)r, vm);
 }
 
 const registry_member *
--- a/src/registry/registry_codec.c
+++ b/src/registry/registry_codec.c
@@ -14,12 +14,12 @@
     return status_set (st, STATUS_TOO_LARGE, "a field of the command is over its limit");
   buffer_reserve (out, size);
   xdrmem_create (&xdrs, out->data + out->len, (unsigned)size, XDR_ENCODE);
-  bool good = xdr_registry_command (&xdrs, (registry_command *)command);
-  if (good)
+  bool valid = xdr_registry_command (&xdrs, (registry_command *)command);
+  if (valid)
     out->len += xdr_getpos (&xdrs);
   xdr_destroy (&xdrs);
   out->data[out->len] = '\0';
-  return good ? 0 : status_set (st, STATUS_TOO_LARGE, "a field of the command is over its limit");
+  return valid ? 0 : status_set (st, STATUS_TOO_LARGE, "a field of the command is over its limit");
 }
 
 /* A hyper is two big-endian words, the high one first.  */
@@ -41,9 +41,9 @@
   XDR xdrs;
   memset (out, 0, sizeof *out);
   xdrmem_create (&xdrs, (char *)data, (unsigned)len, XDR_DECODE);
-  bool good = xdr_registry_result (&xdrs, out) && xdr_getpos (&xdrs) == len;
+  bool valid = xdr_registry_result (&xdrs, out) && xdr_getpos (&xdrs) == len;
   xdr_destroy (&xdrs);
-  if (good)
+  if (valid)
     return 0;
   registry_result_free (out);
   return status_set (st, STATUS_INTERNAL, "result of %zu bytes cannot be decoded", len);
--- a/src/registry/registry_commands.c
+++ b/src/registry/registry_commands.c
@@ -8,7 +8,7 @@
 #include "registry_state.h"
 
 int
-registry_refuse (registry_result *result, enum status_kind kind, const char *format, ...)
+registry_set_status (registry_result *result, enum status_kind kind, const char *format, ...)
 {
   char message[REGISTRY_MESSAGE_BYTES];
   va_list args;
@@ -22,7 +22,7 @@
 }
 
 registry_data_centre *
-registry_data_centre_of (struct registry *r, const char *name)
+registry_data_centre_entry (struct registry *r, const char *name)
 {
   for (unsigned i = 0; i < r->state.data_centres.data_centres_len; i++)
     if (strcmp (r->state.data_centres.data_centres_val[i].name, name) == 0)
@@ -31,7 +31,7 @@
 }
 
 registry_member *
-registry_member_of (struct registry *r, const char *vm)
+registry_member_entry (struct registry *r, const char *vm)
 {
   for (unsigned i = 0; i < r->state.members.members_len; i++)
     if (strcmp (r->state.members.members_val[i].vm, vm) == 0)
@@ -53,15 +53,15 @@
   result->current = r->state.lists_version;
   if (c->expected != r->state.lists_version)
     {
-      registry_refuse (result, STATUS_VERSION_CONFLICT,
-                       "the edit is for version %" PRIu64 ", the current version is %" PRIu64,
-                       (uint64_t)c->expected, (uint64_t)r->state.lists_version);
+      registry_set_status (result, STATUS_VERSION_CONFLICT,
+                           "the edit is for version %" PRIu64 ", the current version is %" PRIu64,
+                           (uint64_t)c->expected, (uint64_t)r->state.lists_version);
       return 0;
     }
   if (strlen (c->plans) + strlen (c->customers) > REGISTRY_LIST_BYTES)
     {
-      registry_refuse (result, STATUS_TOO_LARGE, "both lists together are over %d bytes",
-                       REGISTRY_LIST_BYTES);
+      registry_set_status (result, STATUS_TOO_LARGE, "both lists together are over %d bytes",
+                           REGISTRY_LIST_BYTES);
       return 0;
     }
   replace_text (&r->state.plans, c->plans);
@@ -87,26 +87,27 @@
 change_data_centre (struct registry *r, const registry_data_centre_change *c, int64_t time_ms,
                     registry_result *result)
 {
-  registry_data_centre *dc = registry_data_centre_of (r, c->data_centre);
+  registry_data_centre *dc = registry_data_centre_entry (r, c->data_centre);
   if (!dc)
     {
-      registry_refuse (result, STATUS_NOT_FOUND, "no data centre '%s'", c->data_centre);
+      registry_set_status (result, STATUS_NOT_FOUND, "no data centre '%s'", c->data_centre);
       return 0;
     }
   result->current = dc->state_version;
   result->epoch = dc->epoch;
   if (c->compare && c->expected != dc->state_version)
     {
-      registry_refuse (result, STATUS_VERSION_CONFLICT,
-                       "the command is for version %" PRIu64 " of data centre '%s', the current "
-                       "version is %" PRIu64,
-                       (uint64_t)c->expected, dc->name, (uint64_t)dc->state_version);
+      registry_set_status (result, STATUS_VERSION_CONFLICT,
+                           "the command is for version %" PRIu64
+                           " of data centre '%s', the current "
+                           "version is %" PRIu64,
+                           (uint64_t)c->expected, dc->name, (uint64_t)dc->state_version);
       return 0;
     }
   if (!dc->out == !c->out)
     {
-      registry_refuse (result, STATUS_OK, "data centre '%s' is already %s", dc->name,
-                       dc->out ? "out" : "in");
+      registry_set_status (result, STATUS_OK, "data centre '%s' is already %s", dc->name,
+                           dc->out ? "out" : "in");
       return 0;
     }
   dc->out = c->out;
@@ -116,7 +117,7 @@
   dc->in_force_ms = 0;
   result->current = dc->state_version;
   if (all_out (r))
-    registry_refuse (result, STATUS_OK, "every data centre is out: no task starts anywhere");
+    registry_set_status (result, STATUS_OK, "every data centre is out: no task starts anywhere");
   return REGISTRY_CHANGED_DATA_CENTRES;
 }
 
@@ -124,21 +125,21 @@
 static registry_data_centre *
 out_at_version (struct registry *r, const char *name, uint64_t version, registry_result *result)
 {
-  registry_data_centre *dc = registry_data_centre_of (r, name);
+  registry_data_centre *dc = registry_data_centre_entry (r, name);
   if (!dc)
-    registry_refuse (result, STATUS_NOT_FOUND, "no data centre '%s'", name);
+    registry_set_status (result, STATUS_NOT_FOUND, "no data centre '%s'", name);
   else if (!dc->out || dc->state_version != version)
     {
-      registry_refuse (result, STATUS_VERSION_CONFLICT,
-                       "data centre '%s' is %s at version %" PRIu64 ", not out at %" PRIu64, name,
-                       dc->out ? "out" : "in", (uint64_t)dc->state_version, version);
+      registry_set_status (result, STATUS_VERSION_CONFLICT,
+                           "data centre '%s' is %s at version %" PRIu64 ", not out at %" PRIu64,
+                           name, dc->out ? "out" : "in", (uint64_t)dc->state_version, version);
       dc = NULL;
     }
   return dc;
 }
 
 static unsigned
-note_stopped (struct registry *r, const registry_stopped *c, registry_result *result)
+apply_stopped (struct registry *r, const registry_stopped *c, registry_result *result)
 {
   registry_data_centre *dc = out_at_version (r, c->data_centre, c->out_version, result);
   if (!dc)
@@ -152,8 +153,8 @@
 }
 
 static unsigned
-note_in_force (struct registry *r, const registry_in_force *c, int64_t time_ms,
-               registry_result *result)
+apply_in_force (struct registry *r, const registry_in_force *c, int64_t time_ms,
+                registry_result *result)
 {
   registry_data_centre *dc = out_at_version (r, c->data_centre, c->out_version, result);
   if (!dc)
@@ -163,7 +164,7 @@
     return 0;
   if (c->reason != REGISTRY_ACKNOWLEDGED && c->reason != REGISTRY_PERMIT_EXPIRED)
     {
-      registry_refuse (result, STATUS_BAD_REQUEST, "reason %d is unknown", (int)c->reason);
+      registry_set_status (result, STATUS_BAD_REQUEST, "reason %d is unknown", (int)c->reason);
       return 0;
     }
   dc->in_force = c->reason;
@@ -175,19 +176,20 @@
 close_epoch (struct registry *r, const registry_close_epoch *c, int64_t time_ms,
              registry_result *result)
 {
-  registry_data_centre *dc = registry_data_centre_of (r, c->data_centre);
+  registry_data_centre *dc = registry_data_centre_entry (r, c->data_centre);
   if (!dc)
     {
-      registry_refuse (result, STATUS_NOT_FOUND, "no data centre '%s'", c->data_centre);
+      registry_set_status (result, STATUS_NOT_FOUND, "no data centre '%s'", c->data_centre);
       return 0;
     }
   result->epoch = dc->epoch;
   result->current = dc->state_version;
   if (c->epoch != dc->epoch)
     {
-      registry_refuse (result, STATUS_STALE_EPOCH,
-                       "epoch %" PRIu64 " of data centre '%s' is not open, epoch %" PRIu64 " is",
-                       (uint64_t)c->epoch, dc->name, (uint64_t)dc->epoch);
+      registry_set_status (result, STATUS_STALE_EPOCH,
+                           "epoch %" PRIu64 " of data centre '%s' is not open, epoch %" PRIu64
+                           " is",
+                           (uint64_t)c->epoch, dc->name, (uint64_t)dc->epoch);
       return 0;
     }
   dc->epoch++;
@@ -197,16 +199,16 @@
 }
 
 static bool
-name_is_good (const char *name, const char *what, registry_result *result)
+check_name (const char *name, const char *what, registry_result *result)
 {
   if (json_name_valid (name))
     return true;
-  registry_refuse (result, STATUS_BAD_REQUEST, "the %s is no valid name", what);
+  registry_set_status (result, STATUS_BAD_REQUEST, "the %s is no valid name", what);
   return false;
 }
 
 static unsigned
-voters (const struct registry *r)
+count_voters (const struct registry *r)
 {
   unsigned count = 0;
   for (unsigned i = 0; i < r->state.members.members_len; i++)
@@ -221,11 +223,11 @@
 {
   unsigned count = r->state.data_centres.data_centres_len;
   registry_data_centre *list = r->state.data_centres.data_centres_val;
-  if (registry_data_centre_of (r, m->data_centre))
+  if (registry_data_centre_entry (r, m->data_centre))
     return 0;
   if (count >= REGISTRY_MAX_DATA_CENTRES)
-    return registry_refuse (result, STATUS_LIMIT_EXCEEDED, "there are already %d data centres",
-                            REGISTRY_MAX_DATA_CENTRES);
+    return registry_set_status (result, STATUS_LIMIT_EXCEEDED, "there are already %d data centres",
+                                REGISTRY_MAX_DATA_CENTRES);
   list = xrealloc (list, (count + 1) * sizeof *list);
   r->state.data_centres.data_centres_val = list;
   r->state.data_centres.data_centres_len = count + 1;
@@ -240,26 +242,26 @@
 }
 
 static bool
-member_is_good (const registry_member *m, registry_result *result)
+check_member (const registry_member *m, registry_result *result)
 {
-  if (!name_is_good (m->vm, "VM", result) || !name_is_good (m->data_centre, "data centre", result)
-      || !name_is_good (m->region, "region", result))
+  if (!check_name (m->vm, "VM", result) || !check_name (m->data_centre, "data centre", result)
+      || !check_name (m->region, "region", result))
     return false;
   for (unsigned i = 0; i < m->cells.cells_len; i++)
-    if (!name_is_good (m->cells.cells_val[i], "cell", result))
+    if (!check_name (m->cells.cells_val[i], "cell", result))
       return false;
   return true;
 }
 
 /* A node id is never used twice: an empty disk must not vote under the identity of a lost one.  */
 static int
-choose_node (struct registry *r, uint64_t wanted, uint64_t *node, registry_result *result)
+assign_node_id (struct registry *r, uint64_t wanted, uint64_t *node, registry_result *result)
 {
   *node = wanted != 0 ? wanted : r->state.next_node;
   if (*node < r->state.next_node || *node >= (uint64_t)INT64_MAX)
-    return registry_refuse (result, STATUS_BAD_REQUEST,
-                            "node %" PRIu64 " was already used, the next free one is %" PRIu64,
-                            *node, (uint64_t)r->state.next_node);
+    return registry_set_status (result, STATUS_BAD_REQUEST,
+                                "node %" PRIu64 " was already used, the next free one is %" PRIu64,
+                                *node, (uint64_t)r->state.next_node);
   return 0;
 }
 
@@ -280,14 +282,15 @@
   unsigned count = r->state.members.members_len;
   registry_member *list = r->state.members.members_val;
   uint64_t node;
-  if (!member_is_good (m, result))
+  if (!check_member (m, result))
     return -1;
-  if (registry_member_of (r, m->vm))
-    return registry_refuse (result, STATUS_BAD_REQUEST, "VM '%s' is already a member", m->vm);
+  if (registry_member_entry (r, m->vm))
+    return registry_set_status (result, STATUS_BAD_REQUEST, "VM '%s' is already a member", m->vm);
   if (count >= REGISTRY_MAX_MEMBERS)
-    return registry_refuse (result, STATUS_LIMIT_EXCEEDED, "there are already %d members",
-                            REGISTRY_MAX_MEMBERS);
-  if (choose_node (r, m->node, &node, result) < 0 || ensure_data_centre (r, m, time_ms, result) < 0)
+    return registry_set_status (result, STATUS_LIMIT_EXCEEDED, "there are already %d members",
+                                REGISTRY_MAX_MEMBERS);
+  if (assign_node_id (r, m->node, &node, result) < 0
+      || ensure_data_centre (r, m, time_ms, result) < 0)
     return -1;
   list = xrealloc (list, (count + 1) * sizeof *list);
   r->state.members.members_val = list;
@@ -337,7 +340,7 @@
   unsigned i = 0;
   if (r->state.members.members_len > 0)
     {
-      registry_refuse (result, STATUS_OK, "the registry already has members");
+      registry_set_status (result, STATUS_OK, "the registry already has members");
       return 0;
     }
   if (c->members.members_len > 0)
@@ -346,13 +349,13 @@
   while (i < c->members.members_len
          && add_member (r, &c->members.members_val[i], time_ms, result) == 0)
     i++;
-  if (i == c->members.members_len && voters (r) > 0)
+  if (i == c->members.members_len && count_voters (r) > 0)
     {
       mark_home_cells (r);
       return MEMBER_CHANGES;
     }
   if (result->status == STATUS_OK)
-    registry_refuse (result, STATUS_BAD_REQUEST, "no member is a voter of the registry");
+    registry_set_status (result, STATUS_BAD_REQUEST, "no member is a voter of the registry");
   clear_members (r);
   return 0;
 }
@@ -361,28 +364,28 @@
 replace_member (struct registry *r, const registry_member *m, int64_t time_ms,
                 registry_result *result)
 {
-  registry_member *old = registry_member_of (r, m->vm);
+  registry_member *old = registry_member_entry (r, m->vm);
   uint64_t node;
-  if (!member_is_good (m, result))
+  if (!check_member (m, result))
     return 0;
   if (!old)
     {
-      registry_refuse (result, STATUS_NOT_FOUND, "no member '%s'", m->vm);
+      registry_set_status (result, STATUS_NOT_FOUND, "no member '%s'", m->vm);
       return 0;
     }
   if (strcmp (old->data_centre, m->data_centre) != 0)
     {
-      registry_refuse (result, STATUS_BAD_REQUEST, "VM '%s' is in data centre '%s', not '%s'",
-                       m->vm, old->data_centre, m->data_centre);
+      registry_set_status (result, STATUS_BAD_REQUEST, "VM '%s' is in data centre '%s', not '%s'",
+                           m->vm, old->data_centre, m->data_centre);
       return 0;
     }
-  if (old->registry_voter && !m->registry_voter && voters (r) == 1)
+  if (old->registry_voter && !m->registry_voter && count_voters (r) == 1)
     {
-      registry_refuse (result, STATUS_BAD_REQUEST, "VM '%s' is the last voter of the registry",
-                       m->vm);
+      registry_set_status (result, STATUS_BAD_REQUEST, "VM '%s' is the last voter of the registry",
+                           m->vm);
       return 0;
     }
-  if (choose_node (r, m->node, &node, result) < 0)
+  if (assign_node_id (r, m->node, &node, result) < 0)
     return 0;
   member_free (old);
   fill_member (r, old, m, node, time_ms);
@@ -393,15 +396,16 @@
 static unsigned
 remove_member (struct registry *r, const char *vm, registry_result *result)
 {
-  registry_member *m = registry_member_of (r, vm);
+  registry_member *m = registry_member_entry (r, vm);
   if (!m)
     {
-      registry_refuse (result, STATUS_NOT_FOUND, "no member '%s'", vm);
+      registry_set_status (result, STATUS_NOT_FOUND, "no member '%s'", vm);
       return 0;
     }
-  if (m->registry_voter && voters (r) == 1)
+  if (m->registry_voter && count_voters (r) == 1)
     {
-      registry_refuse (result, STATUS_BAD_REQUEST, "VM '%s' is the last voter of the registry", vm);
+      registry_set_status (result, STATUS_BAD_REQUEST, "VM '%s' is the last voter of the registry",
+                           vm);
       return 0;
     }
   result->node = m->node;
@@ -415,10 +419,10 @@
 static unsigned
 drain_member (struct registry *r, const registry_drain *c, int64_t time_ms, registry_result *result)
 {
-  registry_member *m = registry_member_of (r, c->vm);
+  registry_member *m = registry_member_entry (r, c->vm);
   if (!m)
     {
-      registry_refuse (result, STATUS_NOT_FOUND, "no member '%s'", c->vm);
+      registry_set_status (result, STATUS_NOT_FOUND, "no member '%s'", c->vm);
       return 0;
     }
   result->node = m->node;
@@ -443,9 +447,9 @@
     case REGISTRY_DATA_CENTRE:
       return change_data_centre (r, &body->registry_body_u.data_centre, now, result);
     case REGISTRY_STOPPED:
-      return note_stopped (r, &body->registry_body_u.stopped, result);
+      return apply_stopped (r, &body->registry_body_u.stopped, result);
     case REGISTRY_IN_FORCE:
-      return note_in_force (r, &body->registry_body_u.in_force, now, result);
+      return apply_in_force (r, &body->registry_body_u.in_force, now, result);
     case REGISTRY_MEMBER_ADD:
       return add_member (r, &body->registry_body_u.add, now, result) < 0 ? 0 : MEMBER_CHANGES;
     case REGISTRY_MEMBER_REPLACE:
@@ -457,6 +461,6 @@
     case REGISTRY_CLOSE_EPOCH:
       return close_epoch (r, &body->registry_body_u.close_epoch, now, result);
     }
-  registry_refuse (result, STATUS_BAD_REQUEST, "unknown kind of command %d", (int)body->kind);
+  registry_set_status (result, STATUS_BAD_REQUEST, "unknown kind of command %d", (int)body->kind);
   return 0;
 }
--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -39,8 +39,8 @@
   struct permit_granter *granter;
   struct waiter_list waiting;  /* for the next round */
   struct waiter_list in_round; /* for the round in flight */
-  bool round_open;
-  int64_t round_began_ms;
+  bool round_in_flight;
+  int64_t round_started_ms;
   int64_t confirmed_ms; /* begin of the last round that a quorum answered */
   struct member_sync members;
   bool proposing;
@@ -49,10 +49,10 @@
   size_t summary_count;
 };
 
-static struct counter grants
+static struct counter grants_total
     = { .name = "sassafras_permits_granted_total", .help = "Start permits granted to cells." };
-static struct counter refusals = { .name = "sassafras_permits_refused_total",
-                                   .help = "Requests for a start permit that were refused." };
+static struct counter refusals_total = { .name = "sassafras_permits_refused_total",
+                                         .help = "Requests for a start permit that were refused." };
 
 struct registry_service *
 registry_service_open (const struct registry_service_config *config)
@@ -116,13 +116,13 @@
       const registry_data_centre *dc
           = registry_find_data_centre (s->config.registry, w->data_centre);
       struct permit p
-          = permit_granter_ask (s->granter, dc, w->node, clock_now_ms (s->config.clock));
+          = permit_granter_request (s->granter, dc, w->node, clock_now_ms (s->config.clock));
       grant.granted = p.granted;
       grant.life_ms = p.life_ms;
       grant.cell_epoch = p.epoch;
     }
   fill_cells (s, &grant, cells);
-  counter_add (grant.granted ? &grants : &refusals, 1);
+  counter_add (grant.granted ? &grants_total : &refusals_total, 1);
   w->answer (w->arg, &grant);
   free (w);
 }
@@ -146,11 +146,11 @@
   struct registry_service *s = arg;
   (void)result;
   (void)len;
-  s->round_open = false;
+  s->round_in_flight = false;
   if (status_ok (st))
     {
-      permit_granter_confirm (s->granter, s->round_began_ms);
-      s->confirmed_ms = s->round_began_ms;
+      permit_granter_confirm (s->granter, s->round_started_ms);
+      s->confirmed_ms = s->round_started_ms;
     }
   answer_all (s, &s->in_round, status_ok (st));
   start_round (s);
@@ -159,16 +159,16 @@
 static void
 start_round (struct registry_service *s)
 {
-  if (s->round_open || STAILQ_EMPTY (&s->waiting))
+  if (s->round_in_flight || STAILQ_EMPTY (&s->waiting))
     return;
   STAILQ_CONCAT (&s->in_round, &s->waiting);
-  s->round_open = true;
-  s->round_began_ms = clock_now_ms (s->config.clock);
+  s->round_in_flight = true;
+  s->round_started_ms = clock_now_ms (s->config.clock);
   group_confirm_leader (s->group, on_round_done, s);
 }
 
 static void
-note_capacity (struct registry_service *s, const permit_request *request)
+record_capacity (struct registry_service *s, const permit_request *request)
 {
   size_t i = 0;
   while (i < s->summary_count && strcmp (s->summaries[i].data_centre, request->data_centre) != 0)
@@ -198,7 +198,7 @@
       answer_waiter (s, w, false);
       return;
     }
-  note_capacity (s, request);
+  record_capacity (s, request);
   if (s->confirmed_ms && clock_now_ms (s->config.clock) - s->confirmed_ms <= PERMIT_ROUND_REUSE_MS)
     {
       answer_waiter (s, w, true);
--- a/src/registry/registry_state.h
+++ b/src/registry/registry_state.h
@@ -27,9 +27,10 @@
 
 unsigned registry_execute (struct registry *r, const registry_command *command,
                            registry_result *result); /* One command; returns what it changed. */
-int registry_refuse (registry_result *result, enum status_kind kind, const char *format, ...)
+int registry_set_status (registry_result *result, enum status_kind kind, const char *format, ...)
     __attribute__ ((format (printf, 3, 4))); /* Fills the result; returns -1. */
-registry_data_centre *registry_data_centre_of (struct registry *r, const char *name); /* Or NULL. */
-registry_member *registry_member_of (struct registry *r, const char *vm);             /* Or NULL. */
+registry_data_centre *registry_data_centre_entry (struct registry *r,
+                                                  const char *name);         /* Or NULL. */
+registry_member *registry_member_entry (struct registry *r, const char *vm); /* Or NULL. */
 
 #endif
--- a/tests/test_cell.c
+++ b/tests/test_cell.c
@@ -326,7 +326,7 @@
   assert_int_equal (r.intent, CELL_INTENT_DONE);
   assert_int_equal (r.answer.answer_len, strlen (first));
   assert_memory_equal (r.answer.answer_val, first, strlen (first));
-  now_ms += CELL_INTENT_LIFE_MS;
+  now_ms += CELL_INTENT_RETENTION_MS;
   assert_int_equal (intent_begin (&c, key, 5, 4).intent, CELL_INTENT_DONE);
   now_ms += 1;
   assert_int_equal (intent_begin (&c, key, 5, 4).intent, CELL_INTENT_NEW);
--- a/tests/test_cell_handoff.c
+++ b/tests/test_cell_handoff.c
@@ -34,23 +34,23 @@
   char checkpoint[32];
 };
 
-struct world
+struct sim
 {
   struct rng rng;
   struct cell cells[CELLS];
   int64_t now_ms[CELLS];
-  bool dark[CELLS]; /* its log stands still; its workers' leases have run out */
+  bool offline[CELLS]; /* its log stands still; its workers' leases have run out */
   uint64_t closed[CELLS];
   uint64_t tasks[TASKS];
   bool covered[TASKS];
   int done[TASKS];
   int closings;
-  bool ending; /* tasks finish instead of wandering */
+  bool finishing; /* tasks finish instead of wandering */
   struct message messages[MAX_MESSAGES];
 };
 
 static cell_result
-run (struct world *w, int at, cell_command *cmd)
+run (struct sim *w, int at, cell_command *cmd)
 {
   struct cell *c = &w->cells[at];
   struct buffer in;
@@ -72,7 +72,7 @@
 }
 
 static void
-submit (struct world *w, int i)
+submit (struct sim *w, int i)
 {
   static char customer[] = "huron";
   static char service[] = "svc";
@@ -94,7 +94,7 @@
 }
 
 static void
-send_message (struct world *w, cell_command_kind kind, int from, int to, const struct cell_task *t,
+send_message (struct sim *w, cell_command_kind kind, int from, int to, const struct cell_task *t,
               uint64_t task, uint64_t epoch)
 {
   int copies = rng_chance (&w->rng, 0.2) ? 0 : rng_chance (&w->rng, 0.2) ? 2 : 1;
@@ -116,7 +116,7 @@
 }
 
 static void
-receive_transfer (struct world *w, struct message *m)
+receive_transfer (struct sim *w, struct message *m)
 {
   cell_command cmd;
   memset (&cmd, 0, sizeof cmd);
@@ -141,10 +141,10 @@
 }
 
 static void
-deliver (struct world *w)
+deliver_message (struct sim *w)
 {
   struct message *m = &w->messages[rng_below (&w->rng, MAX_MESSAGES)];
-  if (!m->used || w->dark[m->to] || w->dark[m->from])
+  if (!m->used || w->offline[m->to] || w->offline[m->from])
     return;
   m->used = false;
   struct message copy = *m;
@@ -161,7 +161,7 @@
 }
 
 static void
-report (struct world *w, int at, const struct cell_task *t, cell_report_kind kind)
+report (struct sim *w, int at, const struct cell_task *t, cell_report_kind kind)
 {
   char checkpoint[32];
   cell_command cmd;
@@ -179,32 +179,32 @@
 }
 
 static void
-act_on_worker (struct world *w, int at, int i, const struct cell_task *t)
+report_from_worker (struct sim *w, int at, int i, const struct cell_task *t)
 {
   if (t->state == CELL_STOPPING)
     {
       report (w, at, t, CELL_REPORT_STOPPED);
       return;
     }
-  uint64_t what = w->ending ? 0 : rng_below (&w->rng, 10);
-  if (what == 0)
+  uint64_t action = w->finishing ? 0 : rng_below (&w->rng, 10);
+  if (action == 0)
     {
       report (w, at, t, CELL_REPORT_DONE);
       w->done[i]++;
     }
   else
-    report (w, at, t, what < 5 ? CELL_REPORT_STOPPED : CELL_REPORT_CHECKPOINT);
+    report (w, at, t, action < 5 ? CELL_REPORT_STOPPED : CELL_REPORT_CHECKPOINT);
 }
 
 static void
-act_pending (struct world *w, int at, int i, const struct cell_task *t)
+advance_pending_task (struct sim *w, int at, int i, const struct cell_task *t)
 {
   static char worker[] = "w1";
   cell_command cmd;
   memset (&cmd, 0, sizeof cmd);
-  uint64_t what = w->ending ? 0 : rng_below (&w->rng, 4);
+  uint64_t action = w->finishing ? 0 : rng_below (&w->rng, 4);
   int to = (at + 1) % CELLS;
-  if (what < 2)
+  if (action < 2)
     {
       cmd.kind = CELL_PLACE;
       cmd.cell_command_u.place
@@ -212,25 +212,25 @@
     }
   else
     {
-      cmd.kind = what == 2 && w->covered[i] ? CELL_STANDBY_SENT : CELL_HANDOFF_OFFER;
+      cmd.kind = action == 2 && w->covered[i] ? CELL_STANDBY_SENT : CELL_HANDOFF_OFFER;
       cmd.cell_command_u.offer = (cell_offer){ t->id, t->epoch, (uint64_t)to + 1 };
     }
   run (w, at, &cmd);
 }
 
 static void
-act (struct world *w)
+step_task (struct sim *w)
 {
   int at = (int)rng_below (&w->rng, CELLS);
   int i = (int)rng_below (&w->rng, TASKS);
   const struct cell_task *t = cell_find_task (&w->cells[at], w->tasks[i]);
-  if (!t || w->dark[at])
+  if (!t || w->offline[at])
     return;
   int to = (int)t->other_cell - 1;
   if (cell_task_on_worker (t))
-    act_on_worker (w, at, i, t);
+    report_from_worker (w, at, i, t);
   else if (t->state == CELL_PENDING)
-    act_pending (w, at, i, t);
+    advance_pending_task (w, at, i, t);
   else if (t->state == CELL_OFFERED)
     send_message (w, CELL_HANDOFF_ACCEPT, at, to, t, t->id, t->epoch);
   if (w->covered[i] && to >= 0 && to != at && t->state != CELL_STANDBY && !cell_task_final (t)
@@ -240,17 +240,17 @@
 
 /* A cell goes dark: its epoch is closed, copies start after the wait; later it returns.  */
 static void
-change_dark (struct world *w)
+toggle_offline (struct sim *w)
 {
   int at = (int)rng_below (&w->rng, CELLS);
   cell_command cmd;
   memset (&cmd, 0, sizeof cmd);
   for (int c = 0; c < CELLS; c++)
-    if (w->dark[c] && c != at)
+    if (w->offline[c] && c != at)
       return;
-  if (!w->dark[at])
+  if (!w->offline[at])
     {
-      w->dark[at] = true;
+      w->offline[at] = true;
       w->closed[at] = w->cells[at].epoch;
       w->closings++;
       return;
@@ -265,7 +265,7 @@
     }
   if (rng_chance (&w->rng, 0.5))
     return;
-  w->dark[at] = false;
+  w->offline[at] = false;
   cmd.kind = CELL_EPOCH_CLOSED;
   cmd.cell_command_u.epoch_closed = (cell_epoch_closed){ w->closed[at] };
   run (w, at, &cmd);
@@ -273,26 +273,26 @@
 
 /* Tasks that are stopping because their cell's epoch was closed lost their leases before it.  */
 static bool
-runs (const struct cell_task *t)
+is_running (const struct cell_task *t)
 {
   return t && (t->state == CELL_PLACED || t->state == CELL_RUNNING);
 }
 
 static void
-check (const struct world *w)
+check_invariants (const struct sim *w)
 {
   for (int i = 0; i < TASKS; i++)
     {
       int running = 0;
       for (int c = 0; c < CELLS; c++)
-        if (!w->dark[c] && runs (cell_find_task (&w->cells[c], w->tasks[i])))
+        if (!w->offline[c] && is_running (cell_find_task (&w->cells[c], w->tasks[i])))
           running++;
       if (running > 1)
         fail_msg ("task %d runs in %d cells", i, running);
       /* A cell may go dark after it has finished a task that is safe to repeat, and before it has
          told the cell of the copy: only then may the task be done again.  */
-      int most = w->covered[i] ? 1 + w->closings : 1;
-      if (w->done[i] > most)
+      int max_runs = w->covered[i] ? 1 + w->closings : 1;
+      if (w->done[i] > max_runs)
         fail_msg ("task %d is done %d times", i, w->done[i]);
     }
 }
@@ -300,7 +300,7 @@
 static void
 run_seed (uint64_t seed)
 {
-  static struct world w;
+  static struct sim w;
   memset (&w, 0, sizeof w);
   rng_init (&w.rng, seed);
   for (int c = 0; c < CELLS; c++)
@@ -310,14 +310,14 @@
   for (int step = 0; step < STEPS; step++)
     {
       if (step < STEPS / 2 && rng_chance (&w.rng, 0.005))
-        change_dark (&w);
+        toggle_offline (&w);
       for (int c = 0; step >= STEPS / 2 && c < CELLS; c++)
-        while (w.dark[c])
-          change_dark (&w);
-      w.ending = step > STEPS * 2 / 3;
-      deliver (&w);
-      act (&w);
-      check (&w);
+        while (w.offline[c])
+          toggle_offline (&w);
+      w.finishing = step > STEPS * 2 / 3;
+      deliver_message (&w);
+      step_task (&w);
+      check_invariants (&w);
     }
   for (int i = 0; i < TASKS; i++)
     if (w.done[i] < 1)
@@ -330,9 +330,9 @@
 test_seeds (void **state)
 {
   (void)state;
-  const char *one = getenv ("SEED");
-  uint64_t first = one ? strtoull (one, NULL, 10) : 1;
-  uint64_t last = one ? first : SEEDS;
+  const char *seed_text = getenv ("SEED");
+  uint64_t first = seed_text ? strtoull (seed_text, NULL, 10) : 1;
+  uint64_t last = seed_text ? first : SEEDS;
   for (uint64_t seed = first; seed <= last; seed++)
     {
       print_message ("seed %llu\n", (unsigned long long)seed);
--- a/tests/test_permit.c
+++ b/tests/test_permit.c
@@ -14,7 +14,7 @@
 
 #define GRANTERS 2
 #define HOLDERS 2
-#define MAX_FLIGHT 64
+#define MAX_MESSAGES 64
 #define STEPS 4000
 #define SEEDS 300
 
@@ -39,20 +39,20 @@
   struct permit_granter *g = permit_granter_new ();
   registry_data_centre dc = data_centre ();
   (void)state;
-  assert_false (permit_granter_ask (g, &dc, 1, 0).granted);
+  assert_false (permit_granter_request (g, &dc, 1, 0).granted);
   permit_granter_lead (g, 100);
-  assert_false (permit_granter_ask (g, &dc, 1, 100).granted);
+  assert_false (permit_granter_request (g, &dc, 1, 100).granted);
   permit_granter_confirm (g, 150);
-  assert_int_equal (permit_granter_ask (g, &dc, 1, 200).life_ms, PERMIT_LIFE_MS - 50);
-  assert_false (permit_granter_ask (g, &dc, 1, 150 + PERMIT_LIFE_MS).granted);
-  assert_false (permit_granter_ask (g, NULL, 1, 200).granted);
+  assert_int_equal (permit_granter_request (g, &dc, 1, 200).life_ms, PERMIT_LIFE_MS - 50);
+  assert_false (permit_granter_request (g, &dc, 1, 150 + PERMIT_LIFE_MS).granted);
+  assert_false (permit_granter_request (g, NULL, 1, 200).granted);
   permit_granter_step_down (g);
   permit_granter_confirm (g, 190);
   assert_false (permit_granter_leading (g));
-  assert_false (permit_granter_ask (g, &dc, 1, 200).granted);
+  assert_false (permit_granter_request (g, &dc, 1, 200).granted);
   permit_granter_lead (g, 300);
   permit_granter_confirm (g, 299);
-  assert_false (permit_granter_ask (g, &dc, 1, 300).granted);
+  assert_false (permit_granter_request (g, &dc, 1, 300).granted);
   permit_granter_free (g);
 }
 
@@ -83,7 +83,7 @@
   (void)state;
   permit_granter_lead (g, 0);
   permit_granter_confirm (g, now);
-  assert_true (permit_granter_ask (g, &dc, 1, now).granted);
+  assert_true (permit_granter_request (g, &dc, 1, now).granted);
   take_out (&dc, true);
   assert_false (permit_granter_report (g, &dc, 1, now + 1, &report));
   dc.stopped_version = dc.state_version;
@@ -109,20 +109,20 @@
   (void)state;
   permit_holder_init (&h);
   assert_true (permit_holder_due (&h, 0));
-  int64_t asked = permit_holder_ask (&h, 0);
-  assert_false (permit_holder_due (&h, PERMIT_ASK_MS - 1));
-  permit_holder_answer (&h, asked, &p, 2500);
+  int64_t asked = permit_holder_request (&h, 0);
+  assert_false (permit_holder_due (&h, PERMIT_RENEW_MS - 1));
+  permit_holder_handle_answer (&h, asked, &p, 2500);
   assert_int_equal (permit_holder_left_ms (&h, 2500), PERMIT_LIFE_MS - 2500 - PERMIT_DRIFT_MS);
   assert_int_equal (permit_holder_left_ms (&h, PERMIT_LIFE_MS), 0);
-  asked = permit_holder_ask (&h, 2600);
-  permit_holder_answer (&h, asked, &none, 2650);
+  asked = permit_holder_request (&h, 2600);
+  permit_holder_handle_answer (&h, asked, &none, 2650);
   assert_true (permit_holder_left_ms (&h, 2700) > 0);
   assert_true (permit_holder_due (&h, 2650 + PERMIT_RETRY_MS));
-  asked = permit_holder_ask (&h, 2960);
-  permit_holder_stop (&h, 2970);
-  permit_holder_answer (&h, asked, &p, 2980);
+  asked = permit_holder_request (&h, 2960);
+  permit_holder_release (&h, 2970);
+  permit_holder_handle_answer (&h, asked, &p, 2980);
   assert_int_equal (permit_holder_left_ms (&h, 2980), 0);
-  permit_holder_answer (&h, 999999, &p, 3000);
+  permit_holder_handle_answer (&h, 999999, &p, 3000);
   assert_int_equal (permit_holder_left_ms (&h, 3000), 0);
 }
 
@@ -134,10 +134,10 @@
   struct permit second = { true, 1000, 2 };
   (void)state;
   permit_holder_init (&h);
-  int64_t a = permit_holder_ask (&h, 0);
-  int64_t b = permit_holder_ask (&h, 10);
-  permit_holder_answer (&h, b, &second, 20);
-  permit_holder_answer (&h, a, &first, 30);
+  int64_t a = permit_holder_request (&h, 0);
+  int64_t b = permit_holder_request (&h, 10);
+  permit_holder_handle_answer (&h, b, &second, 20);
+  permit_holder_handle_answer (&h, a, &first, 30);
   assert_int_equal (h.epoch, 2);
   assert_int_equal (permit_holder_left_ms (&h, 10 + 1000), 0);
 }
@@ -150,61 +150,61 @@
   int granter;
   int holder;
   int64_t asked;
-  int64_t arrives;
+  int64_t arrives_ms;
   struct permit permit;
 };
 
 /* Two VMs that may lead the registry and two that may lead the cell.  Only the true leader learns
    of new commands and is confirmed by a quorum; the other may still believe that it leads.  */
-struct world
+struct sim
 {
   struct rng rng;
   struct permit_granter *granters[GRANTERS];
   registry_data_centre view[GRANTERS];
   struct permit_holder holders[HOLDERS];
-  struct message flight[MAX_FLIGHT];
+  struct message in_flight[MAX_MESSAGES];
   int leader;
   int64_t now;
   int64_t out_since; /* INT64_MAX while in */
 };
 
 static void
-post (struct world *w, struct message m)
+send_message (struct sim *w, struct message m)
 {
   m.used = true;
-  m.arrives = w->now + (int64_t)rng_below (&w->rng, rng_chance (&w->rng, 0.1) ? 4000 : 60);
-  for (int i = 0; i < MAX_FLIGHT; i++)
-    if (!w->flight[i].used)
+  m.arrives_ms = w->now + (int64_t)rng_below (&w->rng, rng_chance (&w->rng, 0.1) ? 4000 : 60);
+  for (int i = 0; i < MAX_MESSAGES; i++)
+    if (!w->in_flight[i].used)
       {
-        w->flight[i] = m;
+        w->in_flight[i] = m;
         return;
       }
 }
 
 static void
-deliver (struct world *w)
+deliver_messages (struct sim *w)
 {
-  for (int i = 0; i < MAX_FLIGHT; i++)
+  for (int i = 0; i < MAX_MESSAGES; i++)
     {
-      struct message m = w->flight[i];
-      if (!m.used || m.arrives > w->now)
+      struct message m = w->in_flight[i];
+      if (!m.used || m.arrives_ms > w->now)
         continue;
-      w->flight[i].used = false;
+      w->in_flight[i].used = false;
       if (m.answer)
-        permit_holder_answer (&w->holders[m.holder], m.asked, &m.permit, w->now);
+        permit_holder_handle_answer (&w->holders[m.holder], m.asked, &m.permit, w->now);
       else
         {
           m.answer = true;
-          m.permit = permit_granter_ask (w->granters[m.granter], &w->view[m.granter],
-                                         (uint64_t)m.holder + 1, w->now);
-          post (w, m);
+          m.permit = permit_granter_request (w->granters[m.granter], &w->view[m.granter],
+                                             (uint64_t)m.holder + 1, w->now);
+          send_message (w, m);
         }
     }
 }
 
 /* A quorum elects the other VM; the old leader does not learn of it at once.  */
 static void
-elect_other (struct world *w)
+elect_other_granter (struct sim *w)
 {
   int next = 1 - w->leader;
   w->view[next] = w->view[w->leader];
@@ -213,13 +213,13 @@
 }
 
 static void
-random_event (struct world *w)
+random_event (struct sim *w)
 {
   registry_data_centre *dc = &w->view[w->leader];
   int holder = (int)rng_below (&w->rng, HOLDERS);
   double p = rng_unit (&w->rng);
   if (p < 0.004)
-    elect_other (w);
+    elect_other_granter (w);
   else if (p < 0.006)
     permit_granter_step_down (w->granters[1 - w->leader]);
   else if (p < 0.010)
@@ -229,7 +229,7 @@
     }
   else if (p < 0.015 && dc->out)
     {
-      permit_holder_stop (&w->holders[holder], w->now);
+      permit_holder_release (&w->holders[holder], w->now);
       dc->stopped_version = dc->state_version;
       dc->stopped_node = (uint64_t)holder + 1;
     }
@@ -239,30 +239,30 @@
     if (permit_holder_due (&w->holders[i], w->now))
       {
         struct message m = { .granter = (int)rng_below (&w->rng, GRANTERS), .holder = i };
-        m.asked = permit_holder_ask (&w->holders[i], w->now);
-        post (w, m);
+        m.asked = permit_holder_request (&w->holders[i], w->now);
+        send_message (w, m);
       }
 }
 
 static void
-check (struct world *w, int *seen)
+check_invariants (struct sim *w, int *hits)
 {
   const registry_data_centre *dc = &w->view[w->leader];
   bool in_force = permit_granter_in_force (w->granters[w->leader], dc, w->now).in_force;
   for (int i = 0; i < HOLDERS; i++)
     {
       bool held = permit_holder_left_ms (&w->holders[i], w->now) > 0;
-      seen[0] += held ? 1 : 0;
-      seen[1] += in_force ? 1 : 0;
+      hits[0] += held ? 1 : 0;
+      hits[1] += in_force ? 1 : 0;
       assert_false (held && in_force);
       assert_false (held && w->out_since <= w->now - PERMIT_LIFE_MS);
     }
 }
 
 static void
-run_world (uint64_t seed, int *seen)
+run_simulation (uint64_t seed, int *hits)
 {
-  struct world w = { .out_since = INT64_MAX };
+  struct sim w = { .out_since = INT64_MAX };
   rng_init (&w.rng, seed);
   for (int i = 0; i < GRANTERS; i++)
     {
@@ -275,8 +275,8 @@
     {
       w.now += (int64_t)rng_below (&w.rng, 30);
       random_event (&w);
-      deliver (&w);
-      check (&w, seen);
+      deliver_messages (&w);
+      check_invariants (&w, hits);
     }
   for (int i = 0; i < GRANTERS; i++)
     permit_granter_free (w.granters[i]);
@@ -285,12 +285,12 @@
 static void
 test_no_permit_after_in_force (void **state)
 {
-  int seen[2] = { 0, 0 };
+  int hits[2] = { 0, 0 };
   (void)state;
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
-    run_world (seed, seen);
-  assert_true (seen[0] > SEEDS * STEPS / 10);
-  assert_true (seen[1] > SEEDS * STEPS / 10);
+    run_simulation (seed, hits);
+  assert_true (hits[0] > SEEDS * STEPS / 10);
+  assert_true (hits[1] > SEEDS * STEPS / 10);
 }
 
 int
--- a/tests/test_plans.c
+++ b/tests/test_plans.c
@@ -33,7 +33,7 @@
 }
 
 /* One fault of one edit, and where it must be reported.  */
-struct refusal
+struct invalid_edit
 {
   const char *plans;
   const char *customers;
@@ -43,7 +43,7 @@
   const char *reason; /* part of it */
 };
 
-static const struct refusal refusals[] = {
+static const struct invalid_edit invalid_edits[] = {
   { ONE_PLAN, "{\n\"customers\":[\n{\"id\":\"c\",\n\"plan\":\"q\"}]}", "customers.json", 4,
     "$.customers[0].plan", "unknown plan 'q'" },
   { ONE_PLAN, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"},\n{\"id\":\"c\",\"plan\":\"p\"}]}",
@@ -89,9 +89,9 @@
 test_each_fault_has_its_place (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof refusals / sizeof *refusals; i++)
+  for (size_t i = 0; i < sizeof invalid_edits / sizeof *invalid_edits; i++)
     {
-      const struct refusal *r = &refusals[i];
+      const struct invalid_edit *r = &invalid_edits[i];
       struct json_faults faults;
       assert_null (parse (r->plans, r->customers, &faults));
       assert_int_equal (faults.count, 1);
@@ -202,7 +202,7 @@
 
 /* Damages a copy of TEXT at a few places.  */
 static void
-damage (struct rng *rng, struct buffer *text)
+corrupt (struct rng *rng, struct buffer *text)
 {
   static const char tokens[] = "{}[]\",:\\-0919eE.tfn\n\x80\xff";
   uint64_t changes = 1 + rng_below (rng, 6);
@@ -219,14 +219,14 @@
 }
 
 static void
-check_damaged (struct rng *rng, const char *plans_text, const char *customers_text)
+check_corrupted (struct rng *rng, const char *plans_text, const char *customers_text)
 {
   struct buffer plans = { 0 };
   struct buffer customers = { 0 };
   struct json_faults faults = { 0 };
   buffer_append (&plans, plans_text, strlen (plans_text));
   buffer_append (&customers, customers_text, strlen (customers_text));
-  damage (rng, rng_chance (rng, 0.5) ? &plans : &customers);
+  corrupt (rng, rng_chance (rng, 0.5) ? &plans : &customers);
   struct json_source a = { "plans", plans.data, plans.len };
   struct json_source b = { "customers", customers.data, customers.len };
   struct plans *p = plans_parse (&a, &b, &faults);
@@ -247,7 +247,7 @@
   (void)state;
   rng_init (&rng, 20261204);
   for (int i = 0; i < FUZZ_ROUNDS; i++)
-    check_damaged (&rng, plans, ONE_CUSTOMER);
+    check_corrupted (&rng, plans, ONE_CUSTOMER);
 }
 
 static void
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -193,7 +193,7 @@
 }
 
 static void
-test_oldest_answers_make_room (void **state)
+test_oldest_answers_evicted (void **state)
 {
   struct fixture f = open_fixture ();
   char id[32];
@@ -486,7 +486,7 @@
 }
 
 static void
-damage (struct rng *rng, struct buffer *bytes)
+corrupt (struct rng *rng, struct buffer *bytes)
 {
   uint64_t changes = 1 + rng_below (rng, 4);
   for (uint64_t i = 0; i < changes; i++)
@@ -521,7 +521,7 @@
           c.body.registry_body_u.lists = (registry_set_lists){ 0, PLANS, CUSTOMERS };
         }
       registry_encode (&c, &bytes, NULL);
-      damage (&rng, &bytes);
+      corrupt (&rng, &bytes);
       registry_result result = apply_bytes (&f, bytes.data, bytes.len);
       registry_result_free (&result);
       if (registry_decode_result (bytes.data, bytes.len, &result, NULL) == 0)
@@ -551,7 +551,7 @@
       struct registry *r = registry_new ();
       struct machine *m = registry_machine (r);
       buffer_append (&bytes, good.data, good.len);
-      damage (&rng, &bytes);
+      corrupt (&rng, &bytes);
       refused += m->ops->load (m, bytes.data, bytes.len, &st) < 0 ? 1 : 0;
       registry_free (r);
       buffer_close (&bytes);
@@ -568,7 +568,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_one_of_two_equal_edits_wins),
     cmocka_unit_test (test_repeat_gets_the_first_answer_also_after_restart),
-    cmocka_unit_test (test_oldest_answers_make_room),
+    cmocka_unit_test (test_oldest_answers_evicted),
     cmocka_unit_test (test_order_of_indexes_and_snapshots),
     cmocka_unit_test (test_out_twice_and_return_during_out),
     cmocka_unit_test (test_acknowledgement_is_for_one_out_command),
