--- a/examples/operator_server.c
+++ b/examples/operator_server.c
@@ -62,8 +62,8 @@
   (void)loop;
   (void)events;
   permit_granter_confirm (l->granter, now_ms);
-  if (permit_granter_report (l->granter, list, count, now_ms,
-                             &command.body.registry_body_u.in_force))
+  if (permit_granter_next_in_force (l->granter, list, count, now_ms,
+                                    &command.body.registry_body_u.in_force))
     propose_body (l, &command);
 }
 
@@ -118,7 +118,7 @@
   struct http_server_config http = {
     .address = argv[1], .max_body = OPERATOR_API_MAX_BODY, .handler = on_request, .handler_arg = api
   };
-  permit_granter_lead (l.granter, clock_now_ms (clock_real ()));
+  permit_granter_become_leader (l.granter, clock_now_ms (clock_real ()));
   if (!http_server_open (loop, &http, &st))
     return fprintf (stderr, "%s\n", st.message), 1;
   ev_timer_init (&tick, on_tick, TICK_S, TICK_S);
--- a/src/cell/cell.h
+++ b/src/cell/cell.h
@@ -56,8 +56,8 @@
 /* A standby copy starts only after every lease under the closed epoch has run out: the last permit
    (3 s), the time a cut-off cell still renews tasks that have a standby copy (20 s), the worker
    lease (10 s) and a margin (2 s).  */
-#define CELL_CUT_OFF_GRACE_MS 20000
-#define CELL_CLOSE_WAIT_MS (3000 + CELL_CUT_OFF_GRACE_MS + 10000 + 2000)
+#define CELL_ISOLATION_GRACE_MS 20000
+#define CELL_CLOSE_WAIT_MS (3000 + CELL_ISOLATION_GRACE_MS + 10000 + 2000)
 
 #define CELL_ID_SHIFT 48 /* in ids of jobs and tasks the cell number sits above the count */
 
@@ -85,7 +85,7 @@
   uint64_t other_cell;  /* receiver of an offer, holder or owner of a standby copy */
   uint64_t other_epoch; /* epoch of the owner's cell */
   uint64_t replaces;    /* task of another cell that this replica replaces, 0 when none */
-  void *soft;           /* the observer's own record */
+  void *observer_data;  /* the observer's own record */
 };
 
 STAILQ_HEAD (cell_task_list, cell_task);
@@ -105,7 +105,7 @@
   uint32_t open_tasks; /* tasks that are not finished */
   char *reason;        /* why it failed, NULL otherwise */
   struct cell_task_list tasks;
-  void *soft; /* the observer's own record */
+  void *observer_data; /* the observer's own record */
 };
 
 TAILQ_HEAD (cell_job_list, cell_job);
--- a/src/registry/permit.c
+++ b/src/registry/permit.c
@@ -54,7 +54,7 @@
 }
 
 void
-permit_granter_lead (struct permit_granter *g, int64_t now_ms)
+permit_granter_become_leader (struct permit_granter *g, int64_t now_ms)
 {
   free_grants (g);
   g->leading = true;
@@ -179,8 +179,8 @@
 }
 
 bool
-permit_granter_report (const struct permit_granter *g, const registry_data_centre *list,
-                       size_t count, int64_t now_ms, registry_in_force *out)
+permit_granter_next_in_force (const struct permit_granter *g, const registry_data_centre *list,
+                              size_t count, int64_t now_ms, registry_in_force *out)
 {
   for (size_t i = 0; i < count && g->leading; i++)
     {
--- a/src/registry/permit.h
+++ b/src/registry/permit.h
@@ -46,8 +46,8 @@
 
 struct permit_granter *permit_granter_new (void);    /* Not leading. */
 void permit_granter_free (struct permit_granter *g); /* NULL is allowed. */
-void permit_granter_lead (struct permit_granter *g,
-                          int64_t now_ms); /* Elected: earlier permits may live for 3 s. */
+void permit_granter_become_leader (struct permit_granter *g,
+                                   int64_t now_ms); /* Elected: earlier permits may live for 3 s. */
 void permit_granter_step_down (struct permit_granter *g);     /* Grants nothing any more. */
 bool permit_granter_leading (const struct permit_granter *g); /* Between lead and step_down. */
 void permit_granter_confirm (struct permit_granter *g,
@@ -57,10 +57,11 @@
 struct permit_in_force permit_granter_in_force (const struct permit_granter *g,
                                                 const registry_data_centre *dc, int64_t now_ms);
 
-bool permit_granter_report (const struct permit_granter *g, const registry_data_centre *list,
-                            size_t count, int64_t now_ms,
-                            registry_in_force *out); /* An out command to be recorded as in force;
-                                                        OUT borrows the name from LIST. */
+bool
+permit_granter_next_in_force (const struct permit_granter *g, const registry_data_centre *list,
+                              size_t count, int64_t now_ms,
+                              registry_in_force *out); /* An out command to be recorded as in force;
+                                                          OUT borrows the name from LIST. */
 
 /* The holder: the leader of a cell.  */
 struct permit_holder
--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -215,7 +215,7 @@
   if (leading == permit_granter_leading (s->granter))
     return;
   if (leading)
-    permit_granter_lead (s->granter, clock_now_ms (s->config.clock));
+    permit_granter_become_leader (s->granter, clock_now_ms (s->config.clock));
   else
     {
       permit_granter_step_down (s->granter);
@@ -255,7 +255,8 @@
   size_t n = registry_data_centres (s->config.registry, &all);
   registry_command command = { .request_id = (char *)"" };
   command.body.kind = REGISTRY_IN_FORCE;
-  if (!permit_granter_report (s->granter, all, n, now_ms, &command.body.registry_body_u.in_force))
+  if (!permit_granter_next_in_force (s->granter, all, n, now_ms,
+                                     &command.body.registry_body_u.in_force))
     return false;
   propose (s, &command, now_ms);
   return true;
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -153,7 +153,7 @@
     {
       const struct sched_command *c = &s->outbox[s->outbox_done + i];
       const struct cell_task *t = c->task ? cell_find_task (s->cell, c->task) : NULL;
-      struct sched_task *st = t ? t->soft : NULL;
+      struct sched_task *st = t ? t->observer_data : NULL;
       commands[i] = c->command;
       p->tasks[i] = c->task;
       if (st && st->serial == c->serial)
@@ -187,7 +187,7 @@
   for (size_t i = 0; i < p->count; i++)
     {
       const struct cell_task *t = p->tasks[i] ? cell_find_task (s->cell, p->tasks[i]) : NULL;
-      struct sched_task *st = t ? t->soft : NULL;
+      struct sched_task *st = t ? t->observer_data : NULL;
       if (!st || st->in_flight != id)
         continue;
       st->in_flight = 0;
@@ -337,7 +337,7 @@
   clear (s);
   s->leading = leader;
   /* Without a permit of its own a new leader renews no task that may be started elsewhere.  */
-  s->permit_until_ms = now_ms - CELL_CUT_OFF_GRACE_MS;
+  s->permit_until_ms = now_ms - CELL_ISOLATION_GRACE_MS;
   s->permit_lapsed = true;
   s->confirmed_until_ms = now_ms;
   if (!leader)
--- a/src/scheduler/scheduler_answer.c
+++ b/src/scheduler/scheduler_answer.c
@@ -184,7 +184,7 @@
   if (s->confirmed_until_ms < s->now_ms)
     return 0;
   out->lease_ms = SCHEDULER_LEASE_MS;
-  int64_t covered = s->permit_until_ms + CELL_CUT_OFF_GRACE_MS - s->now_ms;
+  int64_t covered = s->permit_until_ms + CELL_ISOLATION_GRACE_MS - s->now_ms;
   if (covered > SCHEDULER_LEASE_MS)
     covered = SCHEDULER_LEASE_MS;
   out->covered_lease_ms = covered > 0 && !runs_closed_task (w) ? (uint32_t)covered : 0;
--- a/src/scheduler/scheduler_guard.c
+++ b/src/scheduler/scheduler_guard.c
@@ -382,7 +382,7 @@
 static void
 drain_task (struct scheduler *s, struct cell_task *t)
 {
-  struct sched_task *st = t->soft;
+  struct sched_task *st = t->observer_data;
   if (!st || sched_is_urgent (st))
     return;
   if (cell_task_on_worker (t))
--- a/src/scheduler/scheduler_place.c
+++ b/src/scheduler/scheduler_place.c
@@ -88,7 +88,7 @@
   const struct cell_task *t;
   STAILQ_FOREACH (t, &j->tasks, link)
   {
-    const struct sched_task *o = t->soft;
+    const struct sched_task *o = t->observer_data;
     const struct sched_worker *w = o ? (o->worker ? o->worker : o->room) : NULL;
     if (w && w->announced)
       s->rack_counts[w->rack]++;
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -171,7 +171,7 @@
   const struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
-    if (st->worker != w || st->t->soft != st)
+    if (st->worker != w || st->t->observer_data != st)
       sched_fault ("a task is listed on a worker that does not hold it");
     if (st->held_epoch != 0 && strcmp (st->t->worker, w->id) != 0)
       sched_fault ("a task holds capacity on another worker than the log says");
@@ -195,7 +195,7 @@
 static void
 check_task (const struct cell_task *t)
 {
-  const struct sched_task *st = t->soft;
+  const struct sched_task *st = t->observer_data;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
   if (open != (st != NULL))
     sched_fault ("an open task has no record, or a closed one has");
--- a/src/scheduler/scheduler_task.c
+++ b/src/scheduler/scheduler_task.c
@@ -248,13 +248,13 @@
 void
 sched_drop (struct scheduler *s, struct cell_task *t)
 {
-  struct sched_task *st = t->soft;
+  struct sched_task *st = t->observer_data;
   if (!st)
     return;
   unqueue (s, st);
   sched_unreserve (s, st);
   sched_release (s, st);
-  t->soft = NULL;
+  t->observer_data = NULL;
   free (st->checkpoint);
   free (st->reason);
   free (st);
@@ -269,7 +269,7 @@
   st->cls = sched_class (s, st->customer, &t->job->spec);
   st->item.owner = st;
   st->seen_failures = t->failures;
-  t->soft = st;
+  t->observer_data = st;
   return st;
 }
 
@@ -292,7 +292,7 @@
 void
 sched_sync (struct scheduler *s, struct cell_task *t)
 {
-  struct sched_task *st = t->soft;
+  struct sched_task *st = t->observer_data;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
   if (!open)
     {
--- a/src/scheduler/scheduler_worker.c
+++ b/src/scheduler/scheduler_worker.c
@@ -219,7 +219,7 @@
   for (size_t i = 0; i < count; i++)
     {
       const struct cell_task *t = cell_find_task (s->cell, tasks[i].task);
-      struct sched_task *st = t ? t->soft : NULL;
+      struct sched_task *st = t ? t->observer_data : NULL;
       if (st && st->worker == w && st->held_epoch == tasks[i].epoch && cell_task_on_worker (t)
           && t->epoch == tasks[i].epoch)
         note_listing (s, w, st, &tasks[i]);
--- a/tests/test_permit.c
+++ b/tests/test_permit.c
@@ -40,7 +40,7 @@
   registry_data_centre dc = data_centre ();
   (void)state;
   assert_false (permit_granter_request (g, &dc, 1, 0).granted);
-  permit_granter_lead (g, 100);
+  permit_granter_become_leader (g, 100);
   assert_false (permit_granter_request (g, &dc, 1, 100).granted);
   permit_granter_confirm (g, 150);
   assert_int_equal (permit_granter_request (g, &dc, 1, 200).life_ms, PERMIT_LIFE_MS - 50);
@@ -50,7 +50,7 @@
   permit_granter_confirm (g, 190);
   assert_false (permit_granter_leading (g));
   assert_false (permit_granter_request (g, &dc, 1, 200).granted);
-  permit_granter_lead (g, 300);
+  permit_granter_become_leader (g, 300);
   permit_granter_confirm (g, 299);
   assert_false (permit_granter_request (g, &dc, 1, 300).granted);
   permit_granter_free (g);
@@ -62,7 +62,7 @@
   struct permit_granter *g = permit_granter_new ();
   registry_data_centre dc = data_centre ();
   (void)state;
-  permit_granter_lead (g, 1000);
+  permit_granter_become_leader (g, 1000);
   permit_granter_confirm (g, 1000);
   take_out (&dc, true);
   dc.stopped_version = dc.state_version;
@@ -81,16 +81,16 @@
   registry_in_force report;
   const int64_t now = 10000;
   (void)state;
-  permit_granter_lead (g, 0);
+  permit_granter_become_leader (g, 0);
   permit_granter_confirm (g, now);
   assert_true (permit_granter_request (g, &dc, 1, now).granted);
   take_out (&dc, true);
-  assert_false (permit_granter_report (g, &dc, 1, now + 1, &report));
+  assert_false (permit_granter_next_in_force (g, &dc, 1, now + 1, &report));
   dc.stopped_version = dc.state_version;
   dc.stopped_node = 2;
   assert_false (permit_granter_in_force (g, &dc, now + 1).in_force);
   dc.stopped_node = 1;
-  assert_true (permit_granter_report (g, &dc, 1, now + 1, &report));
+  assert_true (permit_granter_next_in_force (g, &dc, 1, now + 1, &report));
   assert_int_equal (report.reason, REGISTRY_ACKNOWLEDGED);
   assert_int_equal (report.out_version, dc.state_version);
   dc.state_version += 2;
@@ -208,7 +208,7 @@
 {
   int next = 1 - w->leader;
   w->view[next] = w->view[w->leader];
-  permit_granter_lead (w->granters[next], w->now);
+  permit_granter_become_leader (w->granters[next], w->now);
   w->leader = next;
 }
 
@@ -270,7 +270,7 @@
       w.view[i] = data_centre ();
       permit_holder_init (&w.holders[i]);
     }
-  permit_granter_lead (w.granters[0], 0);
+  permit_granter_become_leader (w.granters[0], 0);
   for (int i = 0; i < STEPS; i++)
     {
       w.now += (int64_t)rng_below (&w.rng, 30);
