--- a/src/cell/cell_handoff.c
+++ b/src/cell/cell_handoff.c
@@ -1,4 +1,4 @@
-/* Tasks that change cells: hand-off, replacement replicas, standby copies, closed cell epochs.  */
+/* Task moves between cells: hand-off, replacement replicas, standby copies, closed cell epochs.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -68,7 +68,7 @@
     free_handoff (c, h);
 }
 
-/* Remembers the answer to TRANSFER in place of an older one for the same task.  */
+/* Records the answer to transfer A, replacing an older one for the same task.  */
 static void
 record_handoff (struct cell *c, const cell_transfer *a, bool accepted, uint64_t local_task)
 {
@@ -111,7 +111,7 @@
   return j ? j : cell_new_job (c, a->job, &a->spec, a->deadline_left_ms);
 }
 
-/* Takes the task of A into this cell as PENDING or STANDBY.  */
+/* Creates or updates the task of A in this cell as PENDING or STANDBY.  */
 static struct cell_task *
 adopt_task (struct cell *c, cell_transfer *a, enum cell_task_state state)
 {
@@ -130,7 +130,7 @@
   return t;
 }
 
-/* True when this cell owns the task at the epoch of A or above, or has finished it.  */
+/* True if this cell owns the task at or above the epoch of A, or has finished it.  */
 static bool
 already_owned (const struct cell_task *t, const cell_transfer *a)
 {
@@ -139,7 +139,7 @@
   return t->epoch >= a->task_epoch || t->state == CELL_DONE || t->state == CELL_FAILED;
 }
 
-/* The copy here was made after this offer: the offer was decided long ago.  */
+/* True if the standby copy here is newer than the offer, which was settled before the copy.  */
 static bool
 stale_offer (const struct cell_task *t, const cell_transfer *a)
 {
@@ -203,8 +203,8 @@
   record_handoff (c, a, false, 0);
   if (!t || t->state != CELL_STANDBY)
     return;
-  /* The sender goes on with the task: no later start of copies may find this one, even when the
-     sender's cell epoch is closed before it hears of the refusal.  */
+  /* The sender keeps the task: a later STANDBY_START must not start this copy, even if the sender's
+     cell epoch is closed before the refusal reaches it.  */
   t->epoch = a->task_epoch;
   cell_set_state (c, t, CELL_MOVED);
 }
@@ -247,7 +247,7 @@
     cell_set_state (c, t, CELL_PENDING);
 }
 
-/* One replacement per replica: repeats under a newer epoch get the first one while it lives.  */
+/* One replacement per replica: a repeat at a newer epoch returns the first one until it ends.  */
 void
 cell_apply_replica_add (struct cell *c, cell_transfer *a, cell_result *r)
 {
@@ -386,8 +386,8 @@
     }
 }
 
-/* A task with a standby copy may have been started elsewhere: it is stopped and offered to the cell
-   of the copy, whose answer settles who owns it.  */
+/* A task with a standby copy may have been started in the copy's cell: stops it and offers it to
+   that cell, whose answer determines the owner.  */
 static void
 release_covered_task (struct cell *c, struct cell_task *t)
 {
--- a/src/cell/cell_intent.c
+++ b/src/cell/cell_intent.c
@@ -1,4 +1,4 @@
-/* Intents and outcomes of unrepeatable requests.  */
+/* Intents and recorded outcomes of non-idempotent (unrepeatable) requests.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -55,7 +55,7 @@
     free_intent (c, i);
 }
 
-/* The result points at the recorded answer; it is encoded before the next change.  */
+/* R borrows the recorded answer, so it must be encoded before the next change.  */
 static void
 fill_recorded_outcome (const struct cell_intent *i, cell_result *r)
 {
@@ -67,8 +67,8 @@
   r->answer.answer_len = (u_int)i->answer_len;
 }
 
-/* The request surely did not run, so the key may be used again.  Behind all others in the list,
-   which is in order of begun_ms.  */
+/* The request is known not to have run, so the key can be reused.  The intent moves to the tail
+   because the list is ordered by begun_ms.  */
 static void
 reopen_intent (struct cell *c, struct cell_intent *i, uint64_t attempt)
 {
--- a/src/cell/cell_internal.h
+++ b/src/cell/cell_internal.h
@@ -1,30 +1,32 @@
-/* cell_internal: what the files of the cell module share.  */
+/* cell_internal: declarations shared by the files of the cell module.  */
 
 #ifndef SASSAFRAS_CELL_INTERNAL_H
 #define SASSAFRAS_CELL_INTERNAL_H
 
 #include "cell.h"
 
-#define CELL_EPOCH_SHIFT 40 /* the cell epoch sits above the count of placements */
-/* Copies that start count from here, above the epochs that a returning owner gives under the same
-   cell epoch: two offers of one task never have the same epoch.  */
+#define CELL_EPOCH_SHIFT 40 /* task epochs: cell epoch above, placement counter below */
+/* First placement counter of a started standby copy: above the epochs that a returning owner
+   assigns under the same cell epoch, so two offers of one task never have the same epoch.  */
 #define CELL_STANDBY_EPOCH_BASE (1ULL << 32)
 
 /* Jobs and tasks.  */
-struct cell_job *cell_new_job (struct cell *c, uint64_t id, cell_job_spec *spec,
-                               int64_t deadline_left_ms); /* Takes the strings of SPEC. */
+struct cell_job *
+cell_new_job (struct cell *c, uint64_t id, cell_job_spec *spec,
+              int64_t deadline_left_ms); /* Takes ownership of the strings of SPEC. */
 struct cell_task *cell_new_task (struct cell *c, struct cell_job *j, uint64_t id, uint32_t index,
                                  enum cell_task_state state);
 void cell_set_state (struct cell *c, struct cell_task *t,
-                     enum cell_task_state state); /* Also finishes and reopens the job. */
+                     enum cell_task_state state); /* Also finishes or reopens the job. */
 void cell_set_checkpoint (struct cell_task *t, const char *checkpoint,
-                          uint64_t progress_ms);                /* Ignores older progress. */
-void cell_notify_changed (struct cell *c, struct cell_task *t); /* Tells the observer. */
-void cell_expire_finished_jobs (struct cell *c);                /* Frees old finished jobs. */
-void cell_free_all (struct cell *c);                            /* Empties the cell. */
+                          uint64_t progress_ms); /* Ignored if its progress is older. */
+void cell_notify_changed (struct cell *c, struct cell_task *t); /* Notifies the observer. */
+void
+cell_expire_finished_jobs (struct cell *c); /* Frees finished jobs beyond the age or count limit. */
+void cell_free_all (struct cell *c);        /* Frees all records. */
 uint64_t cell_next_epoch (const struct cell *c, uint64_t epoch);
 uint64_t cell_allocate_id (struct cell *c);
-void cell_end_run (struct cell *c, struct cell_task *t); /* Its run is over. */
+void cell_end_run (struct cell *c, struct cell_task *t); /* The run on the worker has ended. */
 bool cell_cancel_job (struct cell *c, uint64_t id); /* False when there is nothing to cancel. */
 void cell_set_error (cell_result *r, enum status_kind kind, const char *message);
 
@@ -50,7 +52,7 @@
 void cell_apply_epoch_closed (struct cell *c, const cell_epoch_closed *a, cell_result *r);
 void cell_apply_intent_begin (struct cell *c, const cell_intent_begin *a, cell_result *r);
 void cell_apply_intent_finish (struct cell *c, cell_intent_finish *a, cell_result *r);
-void cell_expire_handoffs (struct cell *c); /* Frees old records. */
+void cell_expire_handoffs (struct cell *c); /* Frees expired records. */
 void cell_expire_intents (struct cell *c);  /* Frees expired intents. */
 void cell_free_handoffs (struct cell *c);
 void cell_free_intents (struct cell *c);
--- a/src/cell/cell_map.h
+++ b/src/cell/cell_map.h
@@ -1,7 +1,7 @@
-/* cell_map: chained hash table of intrusive nodes.
+/* cell_map: chained hash table with intrusive nodes.
 
-   An element embeds a struct cell_node and the caller compares keys itself: walk the nodes of a
-   hash with cell_map_first and cell_map_next.  The table doubles when it is full and never
+   An element embeds a struct cell_node.  The caller compares keys: it iterates over the nodes with
+   a given hash by cell_map_first and cell_map_next.  The table doubles at load factor 1 and never
    shrinks.  */
 
 #ifndef SASSAFRAS_CELL_MAP_H
@@ -25,13 +25,14 @@
 
 #define CELL_CONTAINER(ptr, type, member) ((type *)((char *)(ptr)-offsetof (type, member)))
 
-void cell_map_init (struct cell_map *m);  /* An empty table. */
+void cell_map_init (struct cell_map *m);  /* Empty table. */
 void cell_map_close (struct cell_map *m); /* Frees the buckets, not the elements. */
 void cell_map_add (struct cell_map *m, struct cell_node *n, uint64_t hash); /* Links N. */
 void cell_map_remove (struct cell_map *m, struct cell_node *n);             /* Unlinks N. */
-struct cell_node *cell_map_first (const struct cell_map *m, uint64_t hash); /* First with HASH. */
-struct cell_node *cell_map_next (const struct cell_node *n); /* Next with the same hash. */
-uint64_t cell_hash_id (uint64_t id);                         /* Hash of a number. */
+struct cell_node *cell_map_first (const struct cell_map *m,
+                                  uint64_t hash);            /* First node with HASH. */
+struct cell_node *cell_map_next (const struct cell_node *n); /* Next node with the same hash. */
+uint64_t cell_hash_id (uint64_t id);                         /* SplitMix64 of an id. */
 uint64_t cell_hash_names (const char *a, const char *b);     /* Hash of a pair of names. */
 
 #endif
--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -11,16 +11,14 @@
 #include "member_sync.h"
 #include "propose_command.h"
 
-#define CONFIRM_INTERVAL_MS 800    /* quorum rounds while this VM leads and has workers */
-#define CONFIRMATION_VALID_MS 1100 /* no node elects another leader this soon after a round began  \
-                                    */
-#define UNCONFIRMED_EXTRA_HOLD_MS 1000 /* longer hold of a poll while leadership is not confirmed  \
-                                        */
+#define CONFIRM_INTERVAL_MS 800    /* between quorum rounds while this VM leads and has workers */
+#define CONFIRMATION_VALID_MS 1100 /* after a round starts: no other leader is elected */
+#define UNCONFIRMED_EXTRA_HOLD_MS 1000 /* extra hold of polls without confirmed leadership */
 #define PERMIT_TIMEOUT_MS 1000
 #define EPOCH_CLOSE_RETRY_MS 500
-#define MAX_PROPOSALS_PER_FLUSH 64 /* proposals may end at once and cause others */
+#define MAX_PROPOSALS_PER_FLUSH 64 /* proposals may complete immediately and cause others */
 
-/* A proposal of the scheduler in flight.  */
+/* A scheduler proposal in flight.  */
 struct pending_proposal
 {
   struct cell_service *service;
@@ -35,18 +33,18 @@
   struct scheduler *scheduler;
   struct cell_transfers *transfers;
   struct permit_holder permit;
-  bool leading;  /* confirmed, own log applied */
+  bool leading;  /* leadership confirmed, own log applied */
   bool stopping; /* planned stop has begun */
-  bool out;      /* the data centre is out, as last told to the scheduler */
+  bool out;      /* the data centre is out, as last passed to the scheduler */
   bool round_in_flight;
   int64_t round_started_ms;
-  int64_t confirmed_until_ms; /* as told to the scheduler */
+  int64_t confirmed_until_ms; /* as passed to the scheduler */
   int64_t next_round_ms;
   bool closing_epoch;
   int64_t next_close_ms;
   bool stopped_in_flight;
-  int64_t starts_valid_until_ms; /* of start commands sent before the data centre was out */
-  uint64_t stopped_version;      /* state version that was acknowledged */
+  int64_t starts_valid_until_ms; /* start commands sent before the data centre went out */
+  uint64_t stopped_version;      /* acknowledged state version */
   bool transferring;
   struct member_sync members;
   struct held_polls polls;
@@ -127,8 +125,8 @@
   member_sync_init (&s->members, g, s->config.data_centre);
 }
 
-/* Refuses jobs that can never run before they are in the log.  */
-/* The plan may allow less than the largest worker: a task above it would wait for ever.  */
+/* Rejects a job that can never run, before it is logged.  The plan may allow less than the largest
+   worker: a task above that limit would stay pending forever.  */
 static int
 check_plan (const struct cell_service *s, const cell_job_spec *spec, struct status *st)
 {
@@ -177,7 +175,7 @@
   return rc;
 }
 
-/* Answers one poll with what the scheduler has for its worker.  */
+/* Answers one poll with the scheduler's commands for its worker.  */
 static void
 answer_poll (struct cell_service *s, const char *worker, cell_poll_fn *done, void *arg)
 {
@@ -190,18 +188,18 @@
     done (arg, &st, &answer);
 }
 
-/* Ends the poll that is held for a worker which polls again: the scheduler answers only the newer
-   one, so the older gets neither commands nor a lease.  */
+/* Answers the held poll of a worker that polls again: the scheduler answers only the newer poll, so
+   the older one gets neither commands nor a lease.  */
 static void
 supersede_poll (struct cell_service *s, const struct worker_poll *newer)
 {
   struct held_poll p;
   if (!held_polls_take (&s->polls, newer->id, &p))
     return;
-  const struct worker_answer nothing = { .incarnation = newer->incarnation };
+  const struct worker_answer empty = { .incarnation = newer->incarnation };
   struct status st;
   status_clear (&st);
-  p.done (p.arg, &st, &nothing);
+  p.done (p.arg, &st, &empty);
 }
 
 static void
@@ -221,7 +219,7 @@
   struct cell_service *s = p->service;
   (void)result;
   (void)len;
-  /* An entry without a known outcome may still be applied: the scheduler waits for the log.  */
+  /* With an unknown outcome the entry may still be applied: the scheduler waits for the log.  */
   if (st->kind != STATUS_OUTCOME_UNKNOWN)
     scheduler_proposal_done (s->scheduler, clock_now_ms (s->config.clock), p->id, status_ok (st));
   free (p);
@@ -287,7 +285,7 @@
   s->transferring = false;
   scheduler_lead (s->scheduler, now_ms, true);
   cell_transfers_set_leader (s->transfers, true);
-  log_line (LOG_INFO, "cell %s: this VM leads in term %llu", s->config.data_centre,
+  log_line (LOG_INFO, "cell %s: this VM is leader in term %llu", s->config.data_centre,
             (unsigned long long)group_term (s->group));
 }
 
@@ -390,7 +388,7 @@
     peer_call_permit (s->config.net, leader, &request, PERMIT_TIMEOUT_MS, on_permit_reply, s);
 }
 
-/* The permit counts only for the cell epoch it was granted for.  */
+/* A permit is valid only for the cell epoch that it was granted for.  */
 static void
 update_start_permit (struct cell_service *s, int64_t now_ms)
 {
@@ -401,7 +399,7 @@
   scheduler_permit (s->scheduler, left > 0 ? now_ms + left : 0);
 }
 
-/* True while a start command that was already sent may still be obeyed.  */
+/* True while a worker may still execute a start command that was already sent.  */
 static bool
 start_outstanding (const struct cell_service *s, int64_t now_ms)
 {
@@ -416,7 +414,7 @@
   return false;
 }
 
-/* Tells the registry that this cell starts no more tasks since the data centre is out.  */
+/* Reports to the registry that this cell starts no more tasks because the data centre is out.  */
 static void
 acknowledge_out (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
@@ -436,7 +434,7 @@
     s->stopped_in_flight = false;
 }
 
-/* Learns that the registry closed this cell's epoch, for example while the data centre was dark. */
+/* Applies a closing of this cell's epoch by the registry, e.g. while the data centre was down.  */
 static void
 sync_cell_epoch (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
@@ -472,7 +470,7 @@
   sync_cell_epoch (s, dc, now_ms);
 }
 
-/* A cell is led best from its own data centre: a remote leader hands over to a local voter.  */
+/* Leaders should run in the data centre they schedule: a remote one transfers to a local voter.  */
 static void
 transfer_to_local_voter (struct cell_service *s)
 {
@@ -496,7 +494,7 @@
     }
 }
 
-/* Voters are the VMs that the registry names for this cell; the data centre's other VMs learn.  */
+/* Voters are the VMs that the registry lists for this cell; other VMs of its data centre learn.  */
 static void
 reconcile_members (struct cell_service *s, int64_t now_ms)
 {
@@ -517,8 +515,7 @@
 answer_due_polls (struct cell_service *s, int64_t now_ms)
 {
   struct held_poll p;
-  /* An answer without a confirmed leader renews no lease: better to hold the poll a little longer.
-   */
+  /* An answer without confirmed leadership renews no lease, so the poll is held longer instead.  */
   int64_t due_ms = now_ms <= s->confirmed_until_ms ? now_ms : now_ms - UNCONFIRMED_EXTRA_HOLD_MS;
   while (held_polls_take_due (&s->polls, due_ms, &p))
     answer_poll (s, p.worker, p.done, p.arg);
@@ -533,7 +530,7 @@
   if (!s->leading)
     return;
   sync_data_centre_state (s, now_ms);
-  /* Also while the data centre is out: the answer tells which cells can take its tasks.  */
+  /* Also while the data centre is out: the answer lists the cells that can receive its tasks.  */
   request_permit (s, now_ms);
   update_start_permit (s, now_ms);
   scheduler_peers (s->scheduler, cell_transfers_cells (s->transfers),
--- a/src/cell/cell_service.h
+++ b/src/cell/cell_service.h
@@ -1,10 +1,10 @@
-/* cell_service: one cell group of this VM at work.
+/* cell_service: runs one cell group on this VM.
 
-   Ties the cell's state machine and its scheduler to their group.  While this VM leads, it asks the
-   registry leader for start permits, has its leadership confirmed by quorum rounds, proposes what
-   the scheduler decides, answers workers' polls and moves tasks between cells (cell_transfers).
+   Connects the cell's state machine and scheduler to the Raft group.  While this VM leads, it
+   requests start permits from the registry leader, confirms its leadership by quorum rounds,
+   proposes scheduling decisions, answers polls and moves tasks between cells (cell_transfers).
 
-   A poll is held open until there are commands for the worker or CELL_POLL_HOLD_MS have passed.  */
+   A poll is held open until there are commands for the worker or CELL_POLL_HOLD_MS have elapsed. */
 
 #ifndef SASSAFRAS_CELL_SERVICE_H
 #define SASSAFRAS_CELL_SERVICE_H
@@ -31,9 +31,9 @@
 
 struct cell_service_config
 {
-  uint64_t number;         /* of the cell and its group, 1 and up */
-  const char *data_centre; /* that the cell schedules */
-  uint64_t node;           /* of this VM */
+  uint64_t number;         /* of the cell and its group, from 1 */
+  const char *data_centre; /* scheduled by the cell */
+  uint64_t node;           /* node id of this VM */
   struct registry *registry;
   struct registry_service *registry_service;
   struct group *registry_group;
@@ -41,32 +41,34 @@
   struct peer_net *net;
   struct clock *clock;
   uint64_t seed;
-  const bool *registry_known; /* false: this VM has not caught up with the lists yet */
+  const bool *registry_known; /* false until this VM has caught up with the lists */
 };
 
 struct cell_service *
-cell_service_open (const struct cell_service_config *config);  /* Without a group yet. */
-void cell_service_close (struct cell_service *s);              /* Held polls get no answer. */
+cell_service_open (const struct cell_service_config *config);  /* The group is set later. */
+void cell_service_close (struct cell_service *s);              /* Held polls are not answered. */
 struct machine *cell_service_machine (struct cell_service *s); /* For the replicated log. */
-void cell_service_set_group (struct cell_service *s, struct group *g); /* Group in use. */
-void cell_service_leader_changed (struct cell_service *s);             /* From the group's event. */
-void cell_service_tick (struct cell_service *s, int64_t now_ms);       /* Every 10 to 100 ms. */
-void cell_service_plans_changed (struct cell_service *s); /* The lists have a new version. */
+void cell_service_set_group (struct cell_service *s, struct group *g); /* The group to use. */
+void cell_service_leader_changed (struct cell_service *s);       /* Handles the group's event. */
+void cell_service_tick (struct cell_service *s, int64_t now_ms); /* Call every 10 to 100 ms. */
+void cell_service_plans_changed (struct cell_service *s);        /* The lists have a new version. */
 int cell_service_prepare (void *s, void *command, size_t len,
                           struct status *st); /* A proposal_prepare. */
 
-bool cell_service_leading (const struct cell_service *s);    /* Own log applied, may decide. */
-bool cell_service_elected (const struct cell_service *s);    /* Elected, maybe not leading yet. */
-uint64_t cell_service_leader (const struct cell_service *s); /* Node, 0 when unknown. */
-const struct cell *cell_service_cell (const struct cell_service *s); /* State, may lag. */
-uint64_t cell_service_number (const struct cell_service *s);         /* Group number. */
-const char *cell_service_data_centre (const struct cell_service *s); /* That it schedules. */
+bool cell_service_leading (const struct cell_service *s); /* Own log applied, may schedule. */
+bool cell_service_elected (const struct cell_service *s); /* Elected, possibly not leading yet. */
+uint64_t cell_service_leader (const struct cell_service *s); /* Node id, 0 when unknown. */
+const struct cell *
+cell_service_cell (const struct cell_service *s);            /* State; may lag behind the leader. */
+uint64_t cell_service_number (const struct cell_service *s); /* Group number. */
+const char *cell_service_data_centre (const struct cell_service *s); /* Scheduled by the cell. */
 int cell_service_announce (struct cell_service *s, const struct worker_announce *a,
-                           struct status *st); /* A worker introduces itself; leader only. */
+                           struct status *st); /* Registers a worker; leader only. */
 int cell_service_poll (struct cell_service *s, const struct worker_poll *p, bool wait,
                        cell_poll_fn *done, void *arg,
-                       struct status *st);       /* -1: refused, DONE is not called. */
-void cell_service_stop (struct cell_service *s); /* Planned stop: answers polls, stops leading. */
+                       struct status *st); /* -1 if rejected: DONE is not called. */
+void
+cell_service_stop (struct cell_service *s); /* Planned stop: answers polls and stops leading. */
 json_t *cell_service_state (const struct cell_service *s); /* For the state dump. */
 
 #endif
--- a/src/cell/cell_snapshot.c
+++ b/src/cell/cell_snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshot of a cell.  */
+/* Encoding and decoding of cell snapshots.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -107,7 +107,7 @@
   }
 }
 
-/* Frees the arrays; the strings belong to the cell.  */
+/* Frees the arrays of IMAGE; its strings are borrowed from the cell.  */
 static void
 free_saved (cell_image *image)
 {
--- a/src/cell/cell_task.c
+++ b/src/cell/cell_task.c
@@ -1,4 +1,4 @@
-/* Jobs and tasks: records, states and the commands of the normal life cycle.  */
+/* Jobs and tasks: records, states and life-cycle commands.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -119,7 +119,7 @@
   return j;
 }
 
-/* Keeps the job in the list that matches its open tasks.  */
+/* Moves the job between the lists of unfinished and finished jobs.  */
 static void
 update_job_list (struct cell *c, struct cell_job *j)
 {
@@ -318,7 +318,7 @@
   cell_set_state (c, t, t->job->reason ? CELL_FAILED : CELL_CANCELLED);
 }
 
-/* An offered task waits for the receiver's answer: only then is it known who has to end it.  */
+/* OFFERED tasks are skipped: until the receiver answers, it is unknown which cell must end them. */
 static void
 end_job (struct cell *c, struct cell_job *j)
 {
@@ -374,7 +374,7 @@
   end_job (c, j);
 }
 
-/* The task with the named epoch, or NULL and the reason in R.  */
+/* Returns the task if its epoch matches, otherwise NULL with the error in R.  */
 static struct cell_task *
 current_task (const struct cell *c, uint64_t id, uint64_t epoch, cell_result *r)
 {
--- a/src/cell/cell_transfers.c
+++ b/src/cell/cell_transfers.c
@@ -8,22 +8,22 @@
 #include "propose_command.h"
 
 #define SCAN_INTERVAL_MS 250
-#define RETRY_MS 1000           /* before a step without an outcome is repeated */
-#define MAX_STEPS_IN_FLIGHT 64  /* steps in flight at once */
-#define STEP_RECORD_MARGIN 1024 /* records kept beyond two for each task */
+#define RETRY_MS 1000           /* before a step without outcome is retried */
+#define MAX_STEPS_IN_FLIGHT 64  /* concurrent steps */
+#define STEP_RECORD_MARGIN 1024 /* records kept in addition to two per task */
 
 enum step_kind
 {
-  STEP_OFFER = 1,        /* an OFFERED task is given to the receiver */
-  STEP_WITHDRAW = 2,     /* the receiver is asked never to take the task */
-  STEP_REPLACE = 3,      /* another cell is asked for a replacement replica */
-  STEP_REPLACED = 4,     /* the replacement runs: the old replica may stop */
-  STEP_MARK_STANDBY = 5, /* recorded here before a standby copy is sent */
-  STEP_PUT_STANDBY = 6,  /* the copy, or its newer checkpoint */
-  STEP_DROP_STANDBY = 7, /* the job has finished here */
+  STEP_OFFER = 1,        /* offer an OFFERED task to its receiver */
+  STEP_WITHDRAW = 2,     /* ask the receiver never to accept the task */
+  STEP_REPLACE = 3,      /* ask another cell for a replacement replica */
+  STEP_REPLACED = 4,     /* the replacement runs: let the old replica stop */
+  STEP_MARK_STANDBY = 5, /* record the standby cell before the copy is sent */
+  STEP_PUT_STANDBY = 6,  /* send the copy or its newer checkpoint */
+  STEP_DROP_STANDBY = 7, /* drop the copies of a finished job */
 };
 
-/* What was last done for one task; soft state of the leader.  */
+/* Last step of one kind for one task; soft state of the leader.  */
 struct step
 {
   struct cell_node node; /* in steps, by kind and task */
@@ -38,7 +38,7 @@
   int64_t next_ms;
 };
 
-/* A data centre whose cell epoch was seen closed.  */
+/* A cell whose epoch this leader has observed closed.  */
 struct closed_cell
 {
   uint64_t cell;
@@ -78,7 +78,7 @@
   return t;
 }
 
-/* Forgets all steps that are not in flight; those free themselves when they end.  */
+/* Frees all steps that are not in flight; a later call frees the others.  */
 static void
 discard_idle_steps (struct cell_transfers *t)
 {
@@ -142,7 +142,7 @@
   return number >= 1 && number <= n && !all[number - 1].out;
 }
 
-/* The one cell that holds this cell's standby copies; 0 when there is no other.  */
+/* The cell that holds the standby copies of this cell; 0 if there is no other cell.  */
 static uint64_t
 standby_cell (const struct cell_transfers *t)
 {
@@ -205,7 +205,7 @@
   return s;
 }
 
-/* True when a step may be sent now: not in flight, not done for this state, not sent just now.  */
+/* True if a step may be sent: not in flight, not done for this state, retry delay elapsed.  */
 static bool
 step_due (struct cell_transfers *t, struct step *s, const struct cell_task *task, int64_t now_ms)
 {
@@ -228,7 +228,7 @@
   (void)len;
 }
 
-/* Ends an offer in this cell, after the receiver has committed its answer.  */
+/* Completes an offer in this cell after the receiver has committed its answer.  */
 static void
 end_offer (struct step *s, bool accepted)
 {
@@ -298,7 +298,7 @@
   send_step (s, group, &c);
 }
 
-/* Offers a task to its receiver, or withdraws the offer when the receiver's data centre is out.  */
+/* Offers a task to its receiver, or withdraws the offer if the receiver's data centre is out.  */
 static void
 transfer_offered (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
 {
@@ -336,8 +336,8 @@
   send_step (s, task->replaces >> CELL_ID_SHIFT, &c);
 }
 
-/* Keeps the standby copy of a task up to date.  The copy's cell is recorded here first, so that a
-   later leader of this cell knows that the task may be started there.  */
+/* Updates the standby copy of a task.  The cell of the copy is recorded in this cell's log first,
+   so that a later leader knows that the task may be started there.  */
 static void
 update_standby (struct cell_transfers *t, const struct cell_task *task, int64_t now_ms)
 {
@@ -414,7 +414,7 @@
     {
       c->started = true;
       counter_add (&standby_started_total, results.results.results_val[0].count);
-      log_line (LOG_INFO, "cell epoch %llu of cell %llu is closed: %u standby copies started",
+      log_line (LOG_INFO, "epoch %llu of cell %llu is closed: started %u standby copies",
                 (unsigned long long)c->closed_epoch, (unsigned long long)c->cell,
                 results.results.results_val[0].count);
     }
@@ -438,7 +438,7 @@
 }
 
 /* Starts the copies of cells whose epoch the registry has closed, once the leases under it have
-   surely expired.  The time is counted from when this leader learned of the closing.  */
+   certainly expired.  The wait starts when this leader observes the closing.  */
 static void
 start_closed_cells (struct cell_transfers *t, int64_t now_ms)
 {
--- a/src/cell/cell_transfers.h
+++ b/src/cell/cell_transfers.h
@@ -1,13 +1,13 @@
-/* cell_transfers: moves tasks between cells on behalf of a cell's leader.
+/* cell_transfers: moves tasks between cells; runs on the leader of a cell.
 
-   Works from the state of the cell alone, so a new leader goes on where the old one stopped:
-   a task OFFERED is proposed to the receiving cell until that cell has committed its acceptance or
-   refusal, and only then ends here; a replica that replaces one of another cell reports to it once
-   it runs; tasks that are safe to repeat elsewhere get a copy in one standby cell, the next data
-   centre in the registry's list; copies of a closed cell epoch are started once every lease under
-   it has expired.
+   Depends only on the state of the cell, so a new leader continues where the old one stopped.
+   An OFFERED task is proposed to the receiving cell until that cell has committed its acceptance or
+   refusal, and ends here only then.  A replica that replaces one of another cell reports to that
+   cell once it runs.  Tasks that are safe to repeat elsewhere get a copy in one standby cell, the
+   next data centre in the registry's list.  Copies of a closed cell epoch are started once every
+   lease under it has expired.
 
-   Every step is idempotent in the receiving cell, so a step without a known outcome is repeated. */
+   Every step is idempotent in the receiving cell, so a step with unknown outcome is retried.  */
 
 #ifndef SASSAFRAS_CELL_TRANSFERS_H
 #define SASSAFRAS_CELL_TRANSFERS_H
@@ -34,17 +34,18 @@
 };
 
 struct cell_transfers *
-cell_transfers_open (const struct cell_transfers_config *config); /* A follower. */
-void cell_transfers_close (struct cell_transfers *t);             /* Frees it. */
+cell_transfers_open (const struct cell_transfers_config *config); /* Starts as a follower. */
+void cell_transfers_close (struct cell_transfers *t);             /* Also frees steps in flight. */
 void cell_transfers_set_leader (struct cell_transfers *t,
                                 bool leader); /* Leadership gained or lost. */
 void cell_transfers_set_cells (struct cell_transfers *t, const cell_capacity *cells,
-                               size_t count); /* Summaries of all cells, from a grant. */
+                               size_t count); /* Capacity of all cells, from a permit grant. */
 const struct scheduler_peer_cell *
-cell_transfers_cells (const struct cell_transfers *t); /* Other cells that may receive tasks. */
+cell_transfers_cells (const struct cell_transfers *t); /* Other cells that can receive tasks. */
 size_t cell_transfers_cell_count (const struct cell_transfers *t); /* Length of that array. */
 void cell_transfers_move (struct cell_transfers *t, const struct scheduler_move *move,
-                          int64_t now_ms); /* A move the scheduler asked for. */
-void cell_transfers_tick (struct cell_transfers *t, int64_t now_ms); /* Proposes what is due. */
+                          int64_t now_ms); /* Executes a move of the scheduler. */
+void cell_transfers_tick (struct cell_transfers *t,
+                          int64_t now_ms); /* Proposes the steps that are due. */
 
 #endif
--- a/src/cell/held_polls.h
+++ b/src/cell/held_polls.h
@@ -1,6 +1,6 @@
-/* held_polls: workers' polls that wait for commands, one for each worker.
+/* held_polls: long polls of workers that wait for commands, one per worker.
 
-   Pure: the caller answers a poll by the callback it gave, after taking it out.  */
+   No I/O: the caller removes a poll and then answers it through the poll's callback.  */
 
 #ifndef SASSAFRAS_HELD_POLLS_H
 #define SASSAFRAS_HELD_POLLS_H
@@ -14,14 +14,14 @@
 #include "scheduler.h"
 #include "status.h"
 
-/* The answer to a held poll; ST is OK when ANSWER is set, which is valid during the call.  */
+/* Called with the answer to a poll.  ST is OK if ANSWER is set; ANSWER is valid during the call. */
 typedef void cell_poll_fn (void *arg, const struct status *st, const struct worker_answer *answer);
 
-/* A poll after it was taken out.  */
+/* A held poll, as added and as removed.  */
 struct held_poll
 {
   char worker[CELL_NAME_BYTES + 1];
-  int64_t until_ms; /* when it is answered at the latest */
+  int64_t until_ms; /* deadline for the answer */
   cell_poll_fn *done;
   void *arg;
 };
@@ -34,12 +34,14 @@
   TAILQ_HEAD (held_poll_list, held_poll_entry) order; /* by until_ms */
 };
 
-void held_polls_init (struct held_polls *h);  /* None. */
-void held_polls_close (struct held_polls *h); /* Frees all; none is answered. */
-void held_polls_add (struct held_polls *h, const struct held_poll *poll); /* Latest until_ms. */
+void held_polls_init (struct held_polls *h);  /* Empty. */
+void held_polls_close (struct held_polls *h); /* Frees all polls unanswered. */
+void held_polls_add (
+    struct held_polls *h,
+    const struct held_poll *poll); /* UNTIL_MS must not be before that of earlier polls. */
 bool held_polls_take (struct held_polls *h, const char *worker,
-                      struct held_poll *out); /* False: none of this worker. */
+                      struct held_poll *out); /* False if this worker has none. */
 bool held_polls_take_due (struct held_polls *h, int64_t now_ms,
-                          struct held_poll *out); /* Next whose time is over. */
+                          struct held_poll *out); /* Next poll past its deadline; false if none. */
 
 #endif
--- a/src/gen/cell_proto.x
+++ b/src/gen/cell_proto.x
@@ -1,4 +1,4 @@
-/* Commands, results and snapshot of a cell's log.  Every string is bounded; the codec refuses more. */
+/* Commands, results and snapshot of a cell's log.  The codec rejects strings above their bound. */
 
 const CELL_NAME_BYTES = 64;
 const CELL_REASON_BYTES = 256;
@@ -14,34 +14,34 @@
 
 enum cell_class
 {
-  CELL_URGENT = 1, /* a service: replicas that run until cancelled */
-  CELL_BATCH = 2   /* a job: tasks that end by themselves */
+  CELL_URGENT = 1, /* service: replicas run until cancelled */
+  CELL_BATCH = 2   /* job: tasks run to completion */
 };
 
 enum cell_task_state
 {
-  CELL_PENDING = 1,   /* waits for a placement */
-  CELL_PLACED = 2,    /* epoch committed, start command on its way */
+  CELL_PENDING = 1,   /* waiting for placement */
+  CELL_PLACED = 2,    /* epoch committed, start command not confirmed */
   CELL_RUNNING = 3,
-  CELL_STOPPING = 4,  /* stop ordered, not confirmed */
-  CELL_OFFERED = 5,   /* offered to another cell; kept until its commit is known */
+  CELL_STOPPING = 4,  /* stop command not confirmed */
+  CELL_OFFERED = 5,   /* offered to another cell; kept until its answer is committed */
   CELL_STANDBY = 6,   /* copy of a task that another cell owns */
   CELL_DONE = 7,
   CELL_FAILED = 8,
   CELL_CANCELLED = 9,
-  CELL_MOVED = 10     /* another cell owns the task now */
+  CELL_MOVED = 10     /* now owned by another cell */
 };
 
 enum cell_stop_reason
 {
   CELL_STOP_NONE = 0,
-  CELL_STOP_PREEMPT = 1,   /* room for an urgent task */
-  CELL_STOP_HARM = 2,      /* slows an urgent task */
-  CELL_STOP_OVERSIZE = 3,  /* uses more than it declared */
-  CELL_STOP_PLAN = 4,      /* a lowered plan */
+  CELL_STOP_PREEMPT = 1,   /* to place an urgent task */
+  CELL_STOP_HARM = 2,      /* interference: slows down an urgent task */
+  CELL_STOP_OVERSIZE = 3,  /* exceeds its declared size */
+  CELL_STOP_PLAN = 4,      /* the plan was reduced */
   CELL_STOP_DRAIN = 5,     /* the data centre is out */
   CELL_STOP_CANCEL = 6,    /* the job was cancelled; the stop ends the task */
-  CELL_STOP_REPLACED = 7,  /* a replica elsewhere has taken over; the stop ends the task */
+  CELL_STOP_REPLACED = 7,  /* a replacement replica runs elsewhere; the stop ends the task */
   CELL_STOP_WORKER = 8,    /* the worker is quarantined */
   CELL_STOP_CLOSED = 9     /* the cell epoch was closed; a standby copy owns the task */
 };
@@ -56,20 +56,20 @@
 struct cell_job_spec
 {
   cell_name customer;
-  cell_name request_id;        /* a repeated submission gets the first answer */
+  cell_name request_id;        /* a repeated submission returns the first answer */
   cell_name service;           /* service of urgent tasks, class of batch tasks */
   cell_class kind;
   cell_size size;              /* of one task */
   unsigned int replicas;       /* tasks of the job */
-  unsigned int max_per_rack;   /* 0 is no limit */
+  unsigned int max_per_rack;   /* 0: no limit */
   unsigned hyper run_ms;       /* declared run time of a batch task */
-  unsigned hyper deadline_ms;  /* after submission; 0 is none */
-  unsigned int checkpoint_ms;  /* declared time to write a checkpoint; 0 when it cannot */
+  unsigned hyper deadline_ms;  /* after submission; 0: none */
+  unsigned int checkpoint_ms;  /* declared time to write a checkpoint; 0: unsupported */
   bool repeat_elsewhere;       /* safe to run again in another cell */
-  string payload<CELL_PAYLOAD_BYTES>; /* what the worker runs; opaque here */
+  string payload<CELL_PAYLOAD_BYTES>; /* executed by the worker; opaque here */
 };
 
-/* A task as one cell hands it to another.  */
+/* A task as transferred between cells.  */
 struct cell_transfer
 {
   unsigned hyper from_cell;
@@ -80,7 +80,7 @@
   unsigned hyper task_epoch;
   unsigned hyper progress_ms;
   string checkpoint<CELL_CHECKPOINT_BYTES>;
-  hyper deadline_left_ms;      /* meaningful when spec.deadline_ms is set */
+  hyper deadline_left_ms;      /* valid if spec.deadline_ms is set */
   bool cancelled;              /* the job was cancelled while the offer was open */
   cell_job_spec spec;
 };
@@ -94,12 +94,12 @@
   CELL_STOP = 5,
   CELL_LOST = 6,
   CELL_FAIL_JOB = 7,
-  CELL_HANDOFF_OFFER = 8,     /* sender: a pending task is offered to another cell */
-  CELL_HANDOFF_ACCEPT = 9,    /* receiver: takes the task */
-  CELL_HANDOFF_REFUSE = 10,   /* receiver: will never take this task at this epoch */
+  CELL_HANDOFF_OFFER = 8,     /* sender: offers a pending task to another cell */
+  CELL_HANDOFF_ACCEPT = 9,    /* receiver: accepts the task */
+  CELL_HANDOFF_REFUSE = 10,   /* receiver: will never accept this task at this epoch */
   CELL_HANDOFF_DONE = 11,     /* sender: the receiver has committed its acceptance */
   CELL_HANDOFF_ABORT = 12,    /* sender: the receiver has committed its refusal */
-  CELL_REPLICA_ADD = 13,      /* receiver: starts a replacement of another cell's replica */
+  CELL_REPLICA_ADD = 13,      /* receiver: creates a replacement of another cell's replica */
   CELL_REPLICA_REPLACED = 14, /* sender: the replacement runs; stop the old replica */
   CELL_STANDBY_PUT = 15,      /* second cell: stores a standby copy or its newer checkpoint */
   CELL_STANDBY_START = 16,    /* second cell: takes over all copies of a closed cell epoch */
@@ -118,7 +118,7 @@
 struct cell_place
 {
   unsigned hyper task;
-  unsigned hyper epoch;       /* the epoch the leader saw; the placement gets the next one */
+  unsigned hyper epoch;       /* epoch read by the leader; the placement gets the next one */
   cell_name worker;
   unsigned hyper incarnation; /* of the worker */
 };
@@ -130,7 +130,7 @@
   CELL_REPORT_DONE = 3,
   CELL_REPORT_FAILED = 4,
   CELL_REPORT_STOPPED = 5,
-  CELL_REPORT_REFUSED = 6     /* the start came too late or did not fit; nothing ran */
+  CELL_REPORT_REFUSED = 6     /* started too late or did not fit; did not run */
 };
 
 struct cell_report
@@ -138,10 +138,10 @@
   unsigned hyper task;
   unsigned hyper epoch;
   cell_report_kind kind;
-  unsigned hyper progress_ms; /* work that the checkpoint keeps */
+  unsigned hyper progress_ms; /* work saved in the checkpoint */
   string checkpoint<CELL_CHECKPOINT_BYTES>;
   string reason<CELL_REASON_BYTES>;
-  unsigned int backoff_ms;    /* failed: not placed again before this has passed */
+  unsigned int backoff_ms;    /* failed: minimum delay before the next placement */
 };
 
 struct cell_stop
@@ -198,14 +198,14 @@
   cell_name customer;
   cell_name key;
   unsigned hyper request_hash;
-  unsigned hyper attempt;     /* random; a repeat of the same begin carries the same number */
+  unsigned hyper attempt;     /* random; a retry of the same begin has the same value */
 };
 
 struct cell_intent_finish
 {
   cell_name customer;
   cell_name key;
-  unsigned hyper attempt;     /* of the begin; any other finish is refused */
+  unsigned hyper attempt;     /* of the begin; a finish with another value is rejected */
   unsigned int outcome;       /* enum status_ran */
   unsigned int code;          /* HTTP status of the answer */
   opaque answer<CELL_ANSWER_BYTES>;
@@ -262,8 +262,8 @@
 {
   CELL_INTENT_NONE = 0,
   CELL_INTENT_NEW = 1,         /* the caller may run the request */
-  CELL_INTENT_IN_PROGRESS = 2, /* begun earlier, no outcome yet */
-  CELL_INTENT_DONE = 3,        /* outcome, code and answer are the recorded ones */
+  CELL_INTENT_IN_PROGRESS = 2, /* begun, no outcome yet */
+  CELL_INTENT_DONE = 3,        /* outcome, code and answer hold the recorded values */
   CELL_INTENT_KEY_REUSED = 4   /* the key belongs to a different request */
 };
 
@@ -273,7 +273,7 @@
   unsigned hyper job;
   unsigned hyper task;         /* first task of a submission */
   unsigned hyper epoch;
-  unsigned int count;          /* cancelled jobs, started standby copies */
+  unsigned int count;          /* of cancelled jobs or started standby copies */
   bool repeated;               /* the same request was applied before */
   cell_intent_state intent;
   unsigned int outcome;
@@ -317,7 +317,7 @@
   hyper deadline_ms;
   hyper finished_ms;
   bool cancelled;
-  bool failed;                 /* reason holds the cause */
+  bool failed;                 /* cause in reason */
   string reason<CELL_REASON_BYTES>;
   cell_task_image tasks<>;
 };
@@ -340,7 +340,7 @@
   unsigned hyper task;
   unsigned hyper epoch;
   bool accepted;
-  unsigned hyper local_task;   /* replacement created for it */
+  unsigned hyper local_task;   /* replacement created for the task */
   hyper at_ms;
 };
 
--- a/src/gen/registry_proto.x
+++ b/src/gen/registry_proto.x
@@ -1,5 +1,5 @@
-/* Commands, results and snapshot of the registry group.  Every string and array is bounded here; the
-   codec refuses more.  A command starts with its time, so that the leader can stamp it in place. */
+/* Commands, results and snapshot of the registry group.  Strings and arrays are bounded; the codec
+   rejects longer ones.  A command starts with its time, so that the leader can set it in place. */
 
 const REGISTRY_NAME_BYTES = 64;
 const REGISTRY_ADDRESS_BYTES = 64;
@@ -7,7 +7,7 @@
 const REGISTRY_MESSAGE_BYTES = 256;
 const REGISTRY_MAX_DATA_CENTRES = 64;
 const REGISTRY_MAX_MEMBERS = 256;
-const REGISTRY_MAX_CELLS = 64;          /* cells in which one VM votes */
+const REGISTRY_MAX_CELLS = 64;          /* cells in which one VM is a voter */
 const REGISTRY_MAX_ANSWERS = 4096;
 const REGISTRY_SNAPSHOT_FORMAT = 1;
 
@@ -19,9 +19,9 @@
 {
   REGISTRY_INIT = 1,           /* first members, from the members file */
   REGISTRY_SET_LISTS = 2,
-  REGISTRY_DATA_CENTRE = 3,    /* out or return */
+  REGISTRY_DATA_CENTRE = 3,    /* take out or return */
   REGISTRY_STOPPED = 4,        /* a cell leader starts no more tasks */
-  REGISTRY_IN_FORCE = 5,       /* the registry leader knows that an out command is in force */
+  REGISTRY_IN_FORCE = 5,       /* the registry leader records an out command as in force */
   REGISTRY_MEMBER_ADD = 6,
   REGISTRY_MEMBER_REPLACE = 7,
   REGISTRY_MEMBER_REMOVE = 8,
@@ -31,7 +31,7 @@
 
 struct registry_member
 {
-  unsigned hyper node;         /* 0 in a command: the registry assigns the next one */
+  unsigned hyper node;         /* 0 in a command: the registry assigns the next id */
   registry_name vm;
   registry_name data_centre;
   registry_name region;
@@ -39,7 +39,7 @@
   registry_address backend;
   registry_address operators;
   bool registry_voter;
-  registry_name cells<REGISTRY_MAX_CELLS>;   /* data centres in whose cell it votes */
+  registry_name cells<REGISTRY_MAX_CELLS>;   /* data centres whose cell it is a voter of */
   bool draining;
   hyper since_ms;              /* Unix time of the last change, set by apply */
 };
@@ -52,7 +52,7 @@
 struct registry_set_lists
 {
   unsigned hyper expected;     /* must be the current version */
-  registry_text plans;         /* text of the file, already checked */
+  registry_text plans;         /* text of the file, already validated */
   registry_text customers;
 };
 
@@ -60,14 +60,14 @@
 {
   registry_name data_centre;
   bool out;
-  bool compare;                /* refuse unless expected is the current version */
+  bool compare;                /* reject unless expected is the current version */
   unsigned hyper expected;
 };
 
 struct registry_stopped
 {
   registry_name data_centre;
-  unsigned hyper out_version;  /* of the out command it has stopped for */
+  unsigned hyper out_version;  /* of the out command that it stopped for */
   unsigned hyper node;         /* the cell leader that stopped */
 };
 
@@ -75,7 +75,7 @@
 {
   REGISTRY_NOT_IN_FORCE = 0,
   REGISTRY_ACKNOWLEDGED = 1,   /* the cell leader stopped */
-  REGISTRY_PERMIT_EXPIRED = 2  /* every permit has surely expired */
+  REGISTRY_PERMIT_EXPIRED = 2  /* every permit has certainly expired */
 };
 
 struct registry_in_force
@@ -94,7 +94,7 @@
 struct registry_close_epoch
 {
   registry_name data_centre;
-  unsigned hyper epoch;        /* must be the current one */
+  unsigned hyper epoch;        /* must be the current epoch */
 };
 
 union registry_body switch (registry_kind kind)
@@ -114,7 +114,7 @@
 struct registry_command
 {
   hyper time_ms;               /* Unix time of the leader; the first 8 bytes of the encoding */
-  registry_name request_id;    /* empty only for commands of the system itself */
+  registry_name request_id;    /* empty only for internal commands */
   registry_body body;
 };
 
@@ -123,8 +123,8 @@
   unsigned int status;         /* enum status_kind */
   string message<REGISTRY_MESSAGE_BYTES>;
   hyper accepted_ms;           /* Unix time of the leader */
-  unsigned hyper index;        /* log index of the command that was answered */
-  unsigned hyper current;      /* lists or data centre: the version after the command */
+  unsigned hyper index;        /* log index of the answered command */
+  unsigned hyper current;      /* version of the lists or data centre after the command */
   unsigned hyper node;         /* member commands: id of the member */
   unsigned hyper epoch;        /* close epoch: the epoch now open */
 };
@@ -134,15 +134,15 @@
   registry_name name;
   registry_name region;
   bool out;
-  unsigned hyper state_version; /* grows with every change of state */
+  unsigned hyper state_version; /* incremented with each state change */
   hyper since_ms;
-  unsigned hyper epoch;        /* of its cell; grows when it is closed */
+  unsigned hyper epoch;        /* of its cell; incremented when closed */
   hyper epoch_since_ms;
   unsigned hyper stopped_version;
   unsigned hyper stopped_node;
   registry_in_force_reason in_force;
   hyper in_force_ms;
-  bool home;                   /* its cell may be the home of jobs and unrepeatable requests */
+  bool home;                   /* its cell can be the home of jobs and unrepeatable requests */
 };
 
 struct registry_answer
--- a/src/registry/permit.c
+++ b/src/registry/permit.c
@@ -6,7 +6,7 @@
 
 #include "buffer.h"
 
-/* When the permits of one node for one data centre have surely expired.  */
+/* Upper bound of the expiry of the permits of one node for one data centre.  */
 struct grant
 {
   char data_centre[REGISTRY_NAME_BYTES + 1];
@@ -19,9 +19,9 @@
 {
   bool leading;
   int64_t elected_ms;
-  bool confirmed;                 /* a round of this leadership was answered by a quorum */
-  int64_t confirmed_ms;           /* when the latest such round began */
-  int64_t prior_permits_until_ms; /* permits of earlier leaders have surely expired then */
+  bool confirmed;                 /* a quorum answered a round of this leadership */
+  int64_t confirmed_ms;           /* start of the latest such round */
+  int64_t prior_permits_until_ms; /* permits of earlier leaders have certainly expired by then */
   LIST_HEAD (grant_list, grant) grants;
 };
 
@@ -79,7 +79,7 @@
 void
 permit_granter_confirm (struct permit_granter *g, int64_t began_ms)
 {
-  /* A round of an earlier leadership of this VM says nothing about the leaders in between.  */
+  /* A round of an earlier leadership of this VM does not rule out other leaders in between.  */
   if (!g->leading || began_ms < g->elected_ms || (g->confirmed && began_ms <= g->confirmed_ms))
     return;
   g->confirmed = true;
@@ -138,7 +138,7 @@
   return permit;
 }
 
-/* A node that reported that it stopped for this out command holds nothing: it was granted nothing
+/* A node that reported that it stopped for this out command holds no permit: none was granted
    since, because the data centre has been out.  */
 static bool
 has_stopped (const registry_data_centre *dc, uint64_t node)
--- a/src/registry/plans.c
+++ b/src/registry/plans.c
@@ -22,7 +22,7 @@
   ix->mask = slots - 1;
 }
 
-/* Slot of NAME, or the free slot where it would go.  */
+/* Returns the slot of NAME, or the free slot for inserting it.  */
 static size_t
 probe (const struct name_index *ix, const struct plans *p, name_at_fn *name_at, const char *name)
 {
@@ -164,8 +164,8 @@
   return p->shape_count == 0;
 }
 
-/* Batch tasks count against the plan's processors and memory, urgent tasks against its
-   concurrency; accelerators are limited for both.  */
+/* Batch tasks are limited by the plan's processors and memory, urgent tasks by its concurrency; the
+   accelerator limit applies to both.  */
 static bool
 fits_plan_limits (const struct plan *plan, const struct plan_size *task, bool urgent)
 {
@@ -197,7 +197,7 @@
   return false;
 }
 
-/* A comparison under way.  */
+/* State of one plans_diff call.  */
 struct diff
 {
   plans_change_fn *fn;
--- a/src/registry/plans.h
+++ b/src/registry/plans.h
@@ -1,9 +1,9 @@
-/* plans: the two lists operators edit, as JSON files for version control.
+/* plans: the two lists that operators edit, JSON files kept in version control.
 
-   plans.json says what each plan may use, customers.json which plan each customer holds.  An edit
-   is checked as a whole and every fault is reported at once, with file, line, JSON path and reason.
-   The result is one immutable, reference-counted struct plans; whoever needs it longer than the
-   current call takes a reference, so a request keeps the version it began with.
+   plans.json defines the limits of each plan, customers.json the plan of each customer.  An edit is
+   validated as a whole and all errors are reported together, with file, line, JSON path and reason.
+   The result is an immutable, reference-counted struct plans; a user that needs it beyond the
+   current call takes a reference, so a request keeps the version that it started with.
 
    Units: processors in millicores, memory in MB (1024 * 1024 bytes), rates per second or hour.
    Zero means "none", never "unlimited".  */
@@ -18,14 +18,14 @@
 #include "json_check.h"
 #include "status.h"
 
-#define PLANS_NAME_BYTES 64      /* names of plans, customers and worker shapes, with the NUL */
+#define PLANS_NAME_BYTES 64      /* names of plans, customers and worker shapes, with NUL */
 #define PLANS_LIST_BYTES 1000000 /* both files together */
 #define PLANS_MAX_PLANS 1000
 #define PLANS_MAX_CUSTOMERS 20000
 #define PLANS_MAX_SHAPES 64
 #define PLANS_MAX_WEIGHT 1000
 
-/* Amounts of one task or one worker.  */
+/* Resources of one task or one worker.  */
 struct plan_size
 {
   int64_t millicores;
@@ -37,13 +37,13 @@
 {
   char id[PLANS_NAME_BYTES];
   int64_t weight;                /* share of batch capacity, 1 to PLANS_MAX_WEIGHT */
-  int64_t urgent_concurrency;    /* urgent requests and tasks at the same time */
+  int64_t urgent_concurrency;    /* concurrent urgent requests and tasks */
   int64_t requests_per_s;        /* requests accepted per second */
-  int64_t batch_millicores;      /* processors of all running batch tasks together */
-  int64_t memory_mb;             /* memory of all running batch tasks together */
-  int64_t accelerators;          /* accelerators of all running tasks together */
-  int64_t evictions_per_hour;    /* evictions its batch tasks may suffer in one hour */
-  struct plan_size largest_task; /* largest single task; zeros when the list names none */
+  int64_t batch_millicores;      /* total of running batch tasks */
+  int64_t memory_mb;             /* total of running batch tasks, in MB */
+  int64_t accelerators;          /* total of all running tasks */
+  int64_t evictions_per_hour;    /* evictions of its batch tasks allowed per hour */
+  struct plan_size largest_task; /* largest single task; zeros if not set */
   bool has_largest_task;
 };
 
@@ -53,7 +53,7 @@
   const struct plan *plan;
 };
 
-/* Largest task that one kind of worker can run.  */
+/* Capacity of one type of worker: the largest task that it can run.  */
 struct worker_shape
 {
   char name[PLANS_NAME_BYTES];
@@ -75,7 +75,7 @@
   PLANS_SHAPE_CHANGED,
 };
 
-/* One difference between two versions; strings are valid only inside the callback.  */
+/* One difference between two versions; strings are valid during the callback.  */
 struct plans_change
 {
   enum plans_change_kind kind;
@@ -87,23 +87,24 @@
 
 typedef void plans_change_fn (void *arg, const struct plans_change *change);
 
-struct plans *plans_parse (const struct json_source *plans, const struct json_source *customers,
-                           struct json_faults *faults); /* One reference, or NULL and FAULTS. */
-struct plans *plans_empty (void);                       /* No plan and no customer. */
-const struct plans *plans_ref (const struct plans *p);  /* Takes a reference. */
-void plans_unref (const struct plans *p);               /* Drops one; NULL is allowed. */
+struct plans *
+plans_parse (const struct json_source *plans, const struct json_source *customers,
+             struct json_faults *faults); /* New reference, or NULL with errors in FAULTS. */
+struct plans *plans_empty (void);         /* No plan and no customer. */
+const struct plans *plans_ref (const struct plans *p); /* Takes a reference. */
+void plans_unref (const struct plans *p);              /* Releases a reference; P may be NULL. */
 const struct plan *plans_for_customer (const struct plans *p,
                                        const char *customer);          /* NULL when unknown. */
-const struct plan *plans_find (const struct plans *p, const char *id); /* Plan by id, or NULL. */
+const struct plan *plans_find (const struct plans *p, const char *id); /* Or NULL. */
 size_t plans_count (const struct plans *p);                            /* Number of plans. */
-const struct plan *plans_at (const struct plans *p, size_t i); /* Plan I in the file's order. */
-size_t plans_shape_count (const struct plans *p);              /* Number of worker shapes. */
+const struct plan *plans_at (const struct plans *p, size_t i);         /* Plan I in file order. */
+size_t plans_shape_count (const struct plans *p); /* Number of worker shapes. */
 const struct worker_shape *plans_shape_at (const struct plans *p, size_t i); /* Shape I. */
 size_t plans_customer_count (const struct plans *p); /* Number of customers. */
 const struct customer *plans_customer_at (const struct plans *p, size_t i); /* Customer I. */
 bool plans_task_fits (const struct plans *p, const struct plan *plan, const struct plan_size *task,
                       bool urgent,
-                      struct status *st); /* False and UNSATISFIABLE when never allowed. */
+                      struct status *st); /* If it can never run: false and UNSATISFIABLE. */
 size_t plans_diff (const struct plans *before, const struct plans *after, plans_change_fn *fn,
                    void *arg); /* Calls FN for each difference; returns their number. */
 
--- a/src/registry/plans_parse.c
+++ b/src/registry/plans_parse.c
@@ -6,7 +6,7 @@
 #include "plans_internal.h"
 
 #define MAX_AMOUNT 1000000000000 /* millicores or MB; 32,000 workers have about 4e9 MB */
-#define MAX_RATE 10000000        /* per second or at the same time */
+#define MAX_RATE 10000000        /* per second, or concurrent */
 #define MAX_EVICTIONS 1000000    /* per hour */
 #define MAX_ACCELERATORS 1000000
 
@@ -46,7 +46,7 @@
 
 #define ARRAY_SIZE(array) (sizeof (array) / sizeof *(array))
 
-/* True when every number is present and in range.  */
+/* Returns true if every number is present and in range.  */
 static bool
 read_bounds (struct json_check *c, const json_t *object, const struct bound *bounds, size_t count,
              void *out)
@@ -99,7 +99,7 @@
   return p->shape_count == 0;
 }
 
-/* A task that a plan allows must be able to run on some worker, alone, within the plan.  */
+/* A task allowed by a plan must be able to run alone on some worker within the plan's limits.  */
 static void
 check_satisfiable (struct json_check *c, const struct plans *p, const struct plan *plan)
 {
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -36,8 +36,8 @@
   return text ? text : "";
 }
 
-/* Parses the lists of the state.  Lists that this program cannot read, which happens when a newer
-   program accepted them during an upgrade, leave the previous plans in force.  */
+/* Parses the lists in the state.  If this program cannot parse them, which happens when a newer
+   version accepted them during an upgrade, the previous plans stay in force.  */
 static void
 parse_lists (struct registry *r)
 {
@@ -60,7 +60,7 @@
     {
       r->usable = false;
       counter_add (&unusable_total, 1);
-      log_line (LOG_ERROR, "lists of version %" PRIu64 " cannot be used: %s:%d: %s: %s",
+      log_line (LOG_ERROR, "lists of version %" PRIu64 " cannot be parsed: %s:%d: %s: %s",
                 (uint64_t)r->state.lists_version, faults.items[0].file, faults.items[0].line,
                 faults.items[0].path, faults.items[0].reason);
     }
@@ -96,7 +96,7 @@
   return NULL;
 }
 
-/* Takes over ANSWER; the oldest answer makes room.  */
+/* Takes ownership of ANSWER; evicts the oldest answer if the ring is full.  */
 static void
 store_answer (struct answer_ring *ring, const registry_answer *answer)
 {
@@ -121,7 +121,7 @@
   ring->count = 0;
 }
 
-/* What a request id stands for: the command without its time, which differs between repeats.  */
+/* Identifies the command of a request id: hash without the time, which differs between repeats.  */
 static uint64_t
 command_digest (const void *command, size_t len)
 {
@@ -143,7 +143,7 @@
   xdr_destroy (&xdrs);
 }
 
-/* Answers from the stored answer; false when the request id is new.  */
+/* Answers a repeated command from the stored answer; false if the request id is new.  */
 static bool
 answer_repeated_command (struct registry *r, const registry_command *command, uint64_t digest,
                          struct buffer *out)
@@ -225,7 +225,7 @@
   xdr_free ((xdrproc_t)xdr_registry_command, (char *)&command);
 }
 
-/* The state as a snapshot: the answers are moved into an array, oldest first.  */
+/* Encodes the state; the snapshot holds the answers as an array, oldest first.  */
 static void
 registry_save (struct machine *m, struct buffer *out)
 {
@@ -247,7 +247,7 @@
       out->data[out->len] = '\0';
     }
   else
-    log_line (LOG_ERROR, "the registry's snapshot cannot be encoded");
+    log_line (LOG_ERROR, "the registry snapshot cannot be encoded");
   xdr_destroy (&xdrs);
   free (s.answers.answers_val);
 }
--- a/src/registry/registry_codec.c
+++ b/src/registry/registry_codec.c
@@ -22,7 +22,7 @@
   return valid ? 0 : status_set (st, STATUS_TOO_LARGE, "a field of the command is over its limit");
 }
 
-/* A hyper is two big-endian words, the high one first.  */
+/* XDR encodes a hyper as two big-endian words, high word first.  */
 int
 registry_stamp (void *command, size_t len, int64_t time_ms)
 {
--- a/src/registry/registry_commands.c
+++ b/src/registry/registry_commands.c
@@ -81,8 +81,8 @@
   return true;
 }
 
-/* Out of a data centre that is out, and return of one that is in, change nothing and are answered
-   with the state as it is.  Taking the last data centre out is allowed and named in the answer.  */
+/* Taking out a data centre that is out, or returning one that is in, changes nothing and answers
+   with the current state.  Taking out the last data centre is allowed; the answer says so.  */
 static unsigned
 change_data_centre (struct registry *r, const registry_data_centre_change *c, int64_t time_ms,
                     registry_result *result)
@@ -121,7 +121,7 @@
   return REGISTRY_CHANGED_DATA_CENTRES;
 }
 
-/* Commands about one out command count only while that out command is the current state.  */
+/* Returns the data centre if the out command of VERSION is its current state, otherwise NULL.  */
 static registry_data_centre *
 out_at_version (struct registry *r, const char *name, uint64_t version, registry_result *result)
 {
@@ -216,7 +216,7 @@
   return count;
 }
 
-/* A data centre exists from its first member on and stays, so that its versions never go back.  */
+/* A data centre is created with its first member and never removed: its versions never decrease. */
 static int
 ensure_data_centre (struct registry *r, const registry_member *m, int64_t time_ms,
                     registry_result *result)
@@ -253,7 +253,7 @@
   return true;
 }
 
-/* A node id is never used twice: an empty disk must not vote under the identity of a lost one.  */
+/* Node ids are never reused: a node with an empty disk must not vote under the id of a lost one. */
 static int
 assign_node_id (struct registry *r, uint64_t wanted, uint64_t *node, registry_result *result)
 {
@@ -310,7 +310,7 @@
   return x->node < y->node ? -1 : x->node > y->node;
 }
 
-/* Before the first member there is no data centre either, so a refused start leaves nothing.  */
+/* Undoes a rejected init: without members there is no data centre either.  */
 static void
 clear_members (struct registry *r)
 {
@@ -324,7 +324,7 @@
   r->state.next_node = 1;
 }
 
-/* Only the first data centres are homes: another one would move the home of recorded requests.  */
+/* Only the first data centres are homes: a later one would move the home of recorded requests.  */
 static void
 mark_home_cells (struct registry *r)
 {
@@ -332,8 +332,8 @@
     r->state.data_centres.data_centres_val[i].home = true;
 }
 
-/* The first members, all or none, once.  They are added in the order of their node ids, whatever
-   the order of the file.  Every VM may propose this; the first one wins.  */
+/* Adds the first members: all or none, and only once.  They are added in the order of their node
+   ids, independent of the file order.  Every VM may propose this; the first proposal wins.  */
 static unsigned
 init_members (struct registry *r, registry_init *c, int64_t time_ms, registry_result *result)
 {
--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -12,7 +12,7 @@
 
 #define PROPOSAL_RETRY_MS 500
 
-/* A permit request that waits for a quorum round.  */
+/* A permit request waiting for a quorum round.  */
 struct permit_waiter
 {
   uint64_t node;
@@ -25,7 +25,7 @@
 
 STAILQ_HEAD (waiter_list, permit_waiter);
 
-/* The last capacity summary of one cell.  */
+/* Latest capacity summary of one cell.  */
 struct cell_summary
 {
   char data_centre[PEER_NAME_BYTES + 1];
@@ -41,7 +41,7 @@
   struct waiter_list in_round; /* for the round in flight */
   bool round_in_flight;
   int64_t round_started_ms;
-  int64_t confirmed_ms; /* begin of the last round that a quorum answered */
+  int64_t confirmed_ms; /* start of the last round answered by a quorum */
   struct member_sync members;
   bool proposing;
   int64_t next_proposal_ms;
@@ -247,7 +247,7 @@
   propose (s, &command, now_ms);
 }
 
-/* Proposes the record that one out command is in force; true when one was proposed.  */
+/* Proposes recording that an out command is in force; returns false if there is none.  */
 static bool
 propose_in_force (struct registry_service *s, int64_t now_ms)
 {
@@ -262,7 +262,7 @@
   return true;
 }
 
-/* Brings the members of the group in line with the members that the registry lists.  */
+/* Reconciles the members of the group with the members in the registry.  */
 static void
 reconcile_members (struct registry_service *s, int64_t now_ms)
 {
@@ -281,7 +281,7 @@
 {
   if (!s->group || !group_is_leader (s->group) || s->proposing || now_ms < s->next_proposal_ms)
     return;
-  /* Not "nothing applied": an operators' command may reach a new registry before its members.  */
+  /* Not registry_applied () == 0: an operator's command may be applied before the members.  */
   const registry_member *all;
   if (registry_members (s->config.registry, &all) == 0)
     {
--- a/src/registry/registry_state.h
+++ b/src/registry/registry_state.h
@@ -1,15 +1,15 @@
-/* registry_state: the struct behind struct registry, shared by registry*.c only.  */
+/* registry_state: definition of struct registry, private to registry*.c.  */
 
 #ifndef SASSAFRAS_REGISTRY_STATE_H
 #define SASSAFRAS_REGISTRY_STATE_H
 
 #include "registry.h"
 
-/* The stored answers, a ring in the order in which they were given.  */
+/* Ring buffer of stored answers, oldest first.  */
 struct answer_ring
 {
   registry_answer items[REGISTRY_MAX_ANSWERS];
-  uint64_t ids[REGISTRY_MAX_ANSWERS]; /* xxhash of the request id, scanned before the strings */
+  uint64_t ids[REGISTRY_MAX_ANSWERS]; /* xxhash of the request id, compared before the strings */
   size_t first;                       /* oldest */
   size_t count;
 };
@@ -17,18 +17,19 @@
 struct registry
 {
   struct machine machine;  /* first member: the vtable */
-  registry_snapshot state; /* as in a snapshot, but without the answers */
+  registry_snapshot state; /* as in a snapshot, without the answers */
   struct answer_ring answers;
-  const struct plans *plans; /* parsed from the lists of the state */
-  bool usable;               /* the lists of the state could be parsed */
+  const struct plans *plans; /* parsed from the lists in state */
+  bool usable;               /* the lists in state could be parsed */
   registry_observer *observer;
   void *observer_arg;
 };
 
-unsigned registry_execute (struct registry *r, const registry_command *command,
-                           registry_result *result); /* One command; returns what it changed. */
+unsigned
+registry_execute (struct registry *r, const registry_command *command,
+                  registry_result *result); /* Executes one command; returns the changes. */
 int registry_set_status (registry_result *result, enum status_kind kind, const char *format, ...)
-    __attribute__ ((format (printf, 3, 4))); /* Fills the result; returns -1. */
+    __attribute__ ((format (printf, 3, 4))); /* Sets status and message; returns -1. */
 registry_data_centre *registry_data_centre_entry (struct registry *r,
                                                   const char *name);         /* Or NULL. */
 registry_member *registry_member_entry (struct registry *r, const char *vm); /* Or NULL. */
--- a/tests/test_cell.c
+++ b/tests/test_cell.c
@@ -1,6 +1,6 @@
-/* Guards against a cell log that loses, doubles or resurrects work: repeated submissions, stale
-   epochs, hand-off with lost or repeated messages, standby copies that start too early, and
-   outcomes of unrepeatable requests that change.  */
+/* Guards against a cell log that loses, duplicates or resurrects work: repeated submissions, stale
+   epochs, hand-off with lost or repeated messages, standby copies started too early, and changed
+   outcomes of unrepeatable requests.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -222,7 +222,7 @@
   assert_int_equal (transfer (&b, CELL_HANDOFF_ACCEPT, t).status, STATUS_OVERLOADED);
   handoff_end (&a, CELL_HANDOFF_ABORT, s.task, o.epoch);
   assert_int_equal (cell_find_task (&a, s.task)->state, CELL_PENDING);
-  /* There and back again: the first cell takes its own task at a higher epoch.  */
+  /* Round trip: the first cell accepts its own task again at a higher epoch.  */
   o = offer (&a, CELL_HANDOFF_OFFER, s.task, cell_find_task (&a, s.task)->epoch, 2);
   cell_make_transfer (&a, cell_find_task (&a, s.task), &t);
   assert_int_equal (transfer (&b, CELL_HANDOFF_ACCEPT, t).status, STATUS_OK);
@@ -234,7 +234,7 @@
   handoff_end (&b, CELL_HANDOFF_DONE, s.task, back.epoch);
   assert_int_equal (cell_find_task (&a, s.task)->state, CELL_PENDING);
   assert_int_equal (a.finished_count, 0);
-  /* The late first offer changes nothing in either cell.  */
+  /* A delayed copy of the first offer changes nothing in either cell.  */
   assert_true (transfer (&b, CELL_HANDOFF_ACCEPT, t).repeated);
   assert_int_equal (cell_find_task (&b, s.task)->state, CELL_MOVED);
   cell_close (&a);
@@ -265,7 +265,7 @@
   assert_int_equal (run (&b, &start).count, 1);
   assert_int_equal (run (&b, &start).count, 0);
   assert_true (cell_find_task (&b, s.task)->epoch > p.epoch + 1000);
-  /* The owner comes back: it stops its run, offers the task, and the copy keeps it.  */
+  /* The owner returns: it stops its run and offers the task; the started copy keeps it.  */
   cell_command closed = { .kind = CELL_EPOCH_CLOSED, .cell_command_u.epoch_closed = { 1 } };
   run (&a, &closed);
   assert_true (run (&a, &closed).repeated);
@@ -335,7 +335,7 @@
   now_ms = 0;
 }
 
-/* Guards against a second run after a begin or finish that was sent twice or came late.  */
+/* Guards against a second execution after a duplicated or delayed begin or finish.  */
 static void
 test_intent_attempts_are_fenced (void **state)
 {
--- a/tests/test_cell_handoff.c
+++ b/tests/test_cell_handoff.c
@@ -1,7 +1,7 @@
-/* Guards against work that runs in two cells or in none: three cells hand tasks to each other and
-   keep standby copies while messages are lost, late, repeated and reordered, owners go dark, and
-   their cell epochs are closed.  After every step at most one cell may run a task; in the end
-   every task is done: once, or, when it is safe to repeat, once more per closing.  */
+/* Guards against tasks that run in two cells or in none: three cells hand off tasks and keep
+   standby copies while messages are lost, delayed, duplicated and reordered, owners go offline, and
+   their cell epochs are closed.  After every step at most one cell may run a task; in the end every
+   task has completed: once, or, if safe to repeat, at most once more per closed epoch.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -39,13 +39,13 @@
   struct rng rng;
   struct cell cells[CELLS];
   int64_t now_ms[CELLS];
-  bool offline[CELLS]; /* its log stands still; its workers' leases have run out */
+  bool offline[CELLS]; /* its log does not advance; its workers' leases have expired */
   uint64_t closed[CELLS];
   uint64_t tasks[TASKS];
   bool covered[TASKS];
   int done[TASKS];
   int closings;
-  bool finishing; /* tasks finish instead of wandering */
+  bool finishing; /* tasks complete instead of moving between cells */
   struct message messages[MAX_MESSAGES];
 };
 
@@ -120,7 +120,7 @@
 {
   cell_command cmd;
   memset (&cmd, 0, sizeof cmd);
-  /* The strings of the job live in the sender's log; the checkpoint may have changed since.  */
+  /* The job's strings are borrowed from the sender; the checkpoint may have changed since.  */
   const struct cell_task *t = cell_find_task (&w->cells[m->from], m->task);
   assert_non_null (t);
   m->transfer.spec = t->job->spec;
@@ -238,7 +238,7 @@
     send_message (w, CELL_STANDBY_PUT, at, to, t, t->id, t->epoch);
 }
 
-/* A cell goes dark: its epoch is closed, copies start after the wait; later it returns.  */
+/* Takes a cell offline and closes its epoch, or starts the copies and perhaps brings it back.  */
 static void
 toggle_offline (struct sim *w)
 {
@@ -271,7 +271,7 @@
   run (w, at, &cmd);
 }
 
-/* Tasks that are stopping because their cell's epoch was closed lost their leases before it.  */
+/* STOPPING after a closed epoch does not count: the lease expired before.  */
 static bool
 is_running (const struct cell_task *t)
 {
@@ -289,8 +289,8 @@
           running++;
       if (running > 1)
         fail_msg ("task %d runs in %d cells", i, running);
-      /* A cell may go dark after it has finished a task that is safe to repeat, and before it has
-         told the cell of the copy: only then may the task be done again.  */
+      /* A task may complete again only if it is safe to repeat and its cell went offline after
+         completing it and before notifying the cell of the copy.  */
       int max_runs = w->covered[i] ? 1 + w->closings : 1;
       if (w->done[i] > max_runs)
         fail_msg ("task %d is done %d times", i, w->done[i]);
@@ -338,7 +338,7 @@
       print_message ("seed %llu\n", (unsigned long long)seed);
       run_seed (seed);
     }
-  /* An offer from before the owner took the task back reached a newer copy.  */
+  /* Regression: an offer sent before the owner took the task back reached a newer copy.  */
   run_seed (1283);
 }
 
--- a/tests/test_held_polls.c
+++ b/tests/test_held_polls.c
@@ -1,4 +1,4 @@
-/* Guards against a worker's poll that is answered twice, never, or after its time.  */
+/* Guards against a held poll that is answered twice, never, or after its deadline.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_permit.c
+++ b/tests/test_permit.c
@@ -1,6 +1,6 @@
-/* Guards against a start permit that outlives the 3 s after an out command, and against an out
-   command reported as in force while some cell leader still holds a permit: with delayed and lost
-   messages, two registry leaders at once, and cell leaders that change.  */
+/* Guards against a start permit that is valid for more than 3 s after an out command, and an out
+   command reported as in force while a cell leader still holds a permit, with delayed and lost
+   messages, two concurrent registry leaders, and changing cell leaders.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -142,7 +142,7 @@
   assert_int_equal (permit_holder_left_ms (&h, 10 + 1000), 0);
 }
 
-/* A message on its way: a request to a granter, or its answer to a holder.  */
+/* A message in flight: a request to a granter, or its answer to a holder.  */
 struct message
 {
   bool used;
@@ -154,8 +154,8 @@
   struct permit permit;
 };
 
-/* Two VMs that may lead the registry and two that may lead the cell.  Only the true leader learns
-   of new commands and is confirmed by a quorum; the other may still believe that it leads.  */
+/* Two VMs that can lead the registry and two that can lead the cell.  Only the elected registry
+   leader gets new commands and quorum confirmations; the other may still believe it leads.  */
 struct sim
 {
   struct rng rng;
@@ -202,7 +202,7 @@
     }
 }
 
-/* A quorum elects the other VM; the old leader does not learn of it at once.  */
+/* A quorum elects the other VM; the old leader is not notified immediately.  */
 static void
 elect_other_granter (struct sim *w)
 {
--- a/tests/test_plans.c
+++ b/tests/test_plans.c
@@ -1,6 +1,5 @@
-/* Guards against a list edit that is accepted with a fault in it, a fault that is reported without
-   its place or one at a time, a crash on damaged files, and a lookup or diff that misses a change.
- */
+/* Guards against an invalid list edit that is accepted, errors reported without position or one at
+   a time, a crash on corrupted files, and a lookup or diff that misses a change.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,7 +31,7 @@
   return plans_parse (&a, &b, faults);
 }
 
-/* One fault of one edit, and where it must be reported.  */
+/* An edit with one error, and the expected report.  */
 struct invalid_edit
 {
   const char *plans;
@@ -40,7 +39,7 @@
   const char *file;
   int line;
   const char *path;
-  const char *reason; /* part of it */
+  const char *reason; /* substring of the reason */
 };
 
 static const struct invalid_edit invalid_edits[] = {
@@ -200,7 +199,7 @@
   plans_unref (b);
 }
 
-/* Damages a copy of TEXT at a few places.  */
+/* Corrupts TEXT in place at one to six positions.  */
 static void
 corrupt (struct rng *rng, struct buffer *text)
 {
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -1,6 +1,6 @@
-/* Guards against two edits of one version that both win, a repeated command that takes effect twice
-   (also after a snapshot), a version that goes back, a node id that is used twice, replicas that
-   differ after the same log, and a crash on a damaged command or snapshot.  */
+/* Guards against two accepted edits of one version, a repeated command that is executed twice (also
+   after a snapshot), a version that decreases, a reused node id, replicas that diverge after the
+   same log, and a crash on a corrupted command or snapshot.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -23,7 +23,7 @@
 #define CUSTOMERS "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"
 #define FUZZ_ROUNDS 3000
 
-/* A registry with the index of its log.  */
+/* A registry with its log index and clock.  */
 struct fixture
 {
   struct registry *r;
@@ -43,7 +43,7 @@
   return result;
 }
 
-/* Applies a command; the message is checked by few tests, so it is released here.  */
+/* Applies a command; frees the message of the result, as few tests check it.  */
 static registry_result
 apply (struct fixture *f, registry_command *c)
 {
@@ -139,7 +139,7 @@
   return out;
 }
 
-/* As after a restart: a new registry from the snapshot.  */
+/* Simulates a restart: loads the snapshot into a new registry.  */
 static void
 reload (struct fixture *f)
 {
@@ -401,10 +401,10 @@
 static void
 random_command (struct fixture *f, struct rng *rng)
 {
-  static const char *const places[] = { "a", "b", "c" };
+  static const char *const data_centres[] = { "a", "b", "c" };
   static const char *const vms[] = { "a1", "b1", "c1", "c2" };
   char id[16];
-  const char *dc = places[rng_below (rng, 3)];
+  const char *dc = data_centres[rng_below (rng, 3)];
   const char *vm = vms[rng_below (rng, 4)];
   snprintf (id, sizeof id, "q%" PRIu64, rng_below (rng, 60));
   switch (rng_below (rng, 7))
@@ -430,7 +430,7 @@
     }
 }
 
-/* Two replicas, one of which restarts from snapshots, and versions that only grow.  */
+/* Two replicas, one of which restarts from snapshots, stay equal; versions never decrease.  */
 static void
 test_replicas_agree (void **state)
 {
@@ -441,8 +441,8 @@
       struct fixture g = open_fixture ();
       struct rng rng_f;
       struct rng rng_g;
-      uint64_t lists = 0;
-      uint64_t places = 0;
+      uint64_t lists_version = 0;
+      uint64_t dc_version = 0;
       rng_init (&rng_f, seed);
       rng_init (&rng_g, seed);
       for (int i = 0; i < 300; i++)
@@ -452,9 +452,9 @@
           if (i % 50 == 7)
             reload (&g);
           uint64_t now = registry_find_data_centre (f.r, "a")->state_version;
-          assert_true (registry_lists (f.r).version >= lists && now >= places);
-          lists = registry_lists (f.r).version;
-          places = now;
+          assert_true (registry_lists (f.r).version >= lists_version && now >= dc_version);
+          lists_version = registry_lists (f.r).version;
+          dc_version = now;
         }
       struct buffer a = save (&f);
       struct buffer b = save (&g);
@@ -467,7 +467,7 @@
     }
 }
 
-/* Damaged lists are logged as errors, thousands of times here.  */
+/* Corrupted lists are logged as errors, thousands of times in these tests.  */
 static int
 silence_log (void)
 {
