--- a/src/cell/cell_service.h
+++ b/src/cell/cell_service.h
@@ -57,18 +57,16 @@
 
 bool cell_service_leading (const struct cell_service *s); /* Own log applied, may schedule. */
 bool cell_service_elected (const struct cell_service *s); /* Elected, possibly not leading yet. */
-uint64_t cell_service_leader (const struct cell_service *s); /* Node id, 0 when unknown. */
-const struct cell *
-cell_service_cell (const struct cell_service *s);            /* State; may lag behind the leader. */
-uint64_t cell_service_number (const struct cell_service *s); /* Group number. */
+uint64_t cell_service_leader (const struct cell_service *s);         /* Node id, 0 when unknown. */
+const struct cell *cell_service_cell (const struct cell_service *s); /* State, may lag behind. */
+uint64_t cell_service_number (const struct cell_service *s);         /* Group number. */
 const char *cell_service_data_centre (const struct cell_service *s); /* Scheduled by the cell. */
 int cell_service_announce (struct cell_service *s, const struct worker_announce *a,
                            struct status *st); /* Registers a worker; leader only. */
 int cell_service_poll (struct cell_service *s, const struct worker_poll *p, bool wait,
                        cell_poll_fn *done, void *arg,
-                       struct status *st); /* -1 if rejected: DONE is not called. */
-void
-cell_service_stop (struct cell_service *s); /* Planned stop: answers polls and stops leading. */
+                       struct status *st);       /* -1 if rejected: DONE is not called. */
+void cell_service_stop (struct cell_service *s); /* Planned stop: answers polls, steps down. */
 json_t *cell_service_state (const struct cell_service *s); /* For the state dump. */
 
 #endif
--- a/src/registry/plans.h
+++ b/src/registry/plans.h
@@ -87,12 +87,11 @@
 
 typedef void plans_change_fn (void *arg, const struct plans_change *change);
 
-struct plans *
-plans_parse (const struct json_source *plans, const struct json_source *customers,
-             struct json_faults *faults); /* New reference, or NULL with errors in FAULTS. */
-struct plans *plans_empty (void);         /* No plan and no customer. */
-const struct plans *plans_ref (const struct plans *p); /* Takes a reference. */
-void plans_unref (const struct plans *p);              /* Releases a reference; P may be NULL. */
+struct plans *plans_parse (const struct json_source *plans, const struct json_source *customers,
+                           struct json_faults *faults); /* New reference, or NULL and FAULTS. */
+struct plans *plans_empty (void);                       /* No plan and no customer. */
+const struct plans *plans_ref (const struct plans *p);  /* Takes a reference. */
+void plans_unref (const struct plans *p);               /* Releases a reference; P may be NULL. */
 const struct plan *plans_for_customer (const struct plans *p,
                                        const char *customer);          /* NULL when unknown. */
 const struct plan *plans_find (const struct plans *p, const char *id); /* Or NULL. */
--- a/src/registry/registry_state.h
+++ b/src/registry/registry_state.h
@@ -25,9 +25,8 @@
   void *observer_arg;
 };
 
-unsigned
-registry_execute (struct registry *r, const registry_command *command,
-                  registry_result *result); /* Executes one command; returns the changes. */
+unsigned registry_execute (struct registry *r, const registry_command *command,
+                           registry_result *result); /* Runs one command; returns the changes. */
 int registry_set_status (registry_result *result, enum status_kind kind, const char *format, ...)
     __attribute__ ((format (printf, 3, 4))); /* Sets status and message; returns -1. */
 registry_data_centre *registry_data_centre_entry (struct registry *r,
