--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -12,7 +12,7 @@
 
 #define PROPOSAL_RETRY_MS 500
 
-/* A permit request that waits for a quorum round.  */
+/* A permit request waiting for a quorum round.  */
 struct permit_waiter
 {
   uint64_t node;
@@ -25,7 +25,7 @@
 
 STAILQ_HEAD (waiter_list, permit_waiter);
 
-/* The last capacity summary of one cell.  */
+/* Latest capacity summary of one cell.  */
 struct cell_summary
 {
   char data_centre[PEER_NAME_BYTES + 1];
@@ -39,9 +39,9 @@
   struct permit_granter *granter;
   struct waiter_list waiting;  /* for the next round */
   struct waiter_list in_round; /* for the round in flight */
-  bool round_open;
-  int64_t round_began_ms;
-  int64_t confirmed_ms; /* begin of the last round that a quorum answered */
+  bool round_in_flight;
+  int64_t round_started_ms;
+  int64_t confirmed_ms; /* start of the last round answered by a quorum */
   struct member_sync members;
   bool proposing;
   int64_t next_proposal_ms;
@@ -49,10 +49,10 @@
   size_t summary_count;
 };
 
-static struct counter grants
+static struct counter grants_total
     = { .name = "sassafras_permits_granted_total", .help = "Start permits granted to cells." };
-static struct counter refusals = { .name = "sassafras_permits_refused_total",
-                                   .help = "Requests for a start permit that were refused." };
+static struct counter refusals_total = { .name = "sassafras_permits_refused_total",
+                                         .help = "Requests for a start permit that were refused." };
 
 struct registry_service *
 registry_service_open (const struct registry_service_config *config)
@@ -116,13 +116,13 @@
       const registry_data_centre *dc
           = registry_find_data_centre (s->config.registry, w->data_centre);
       struct permit p
-          = permit_granter_ask (s->granter, dc, w->node, clock_now_ms (s->config.clock));
+          = permit_granter_request (s->granter, dc, w->node, clock_now_ms (s->config.clock));
       grant.granted = p.granted;
       grant.life_ms = p.life_ms;
       grant.cell_epoch = p.epoch;
     }
   fill_cells (s, &grant, cells);
-  counter_add (grant.granted ? &grants : &refusals, 1);
+  counter_add (grant.granted ? &grants_total : &refusals_total, 1);
   w->answer (w->arg, &grant);
   free (w);
 }
@@ -146,11 +146,11 @@
   struct registry_service *s = arg;
   (void)result;
   (void)len;
-  s->round_open = false;
+  s->round_in_flight = false;
   if (status_ok (st))
     {
-      permit_granter_confirm (s->granter, s->round_began_ms);
-      s->confirmed_ms = s->round_began_ms;
+      permit_granter_confirm (s->granter, s->round_started_ms);
+      s->confirmed_ms = s->round_started_ms;
     }
   answer_all (s, &s->in_round, status_ok (st));
   start_round (s);
@@ -159,16 +159,16 @@
 static void
 start_round (struct registry_service *s)
 {
-  if (s->round_open || STAILQ_EMPTY (&s->waiting))
+  if (s->round_in_flight || STAILQ_EMPTY (&s->waiting))
     return;
   STAILQ_CONCAT (&s->in_round, &s->waiting);
-  s->round_open = true;
-  s->round_began_ms = clock_now_ms (s->config.clock);
+  s->round_in_flight = true;
+  s->round_started_ms = clock_now_ms (s->config.clock);
   group_confirm_leader (s->group, on_round_done, s);
 }
 
 static void
-note_capacity (struct registry_service *s, const permit_request *request)
+record_capacity (struct registry_service *s, const permit_request *request)
 {
   size_t i = 0;
   while (i < s->summary_count && strcmp (s->summaries[i].data_centre, request->data_centre) != 0)
@@ -198,7 +198,7 @@
       answer_waiter (s, w, false);
       return;
     }
-  note_capacity (s, request);
+  record_capacity (s, request);
   if (s->confirmed_ms && clock_now_ms (s->config.clock) - s->confirmed_ms <= PERMIT_ROUND_REUSE_MS)
     {
       answer_waiter (s, w, true);
@@ -215,7 +215,7 @@
   if (leading == permit_granter_leading (s->granter))
     return;
   if (leading)
-    permit_granter_lead (s->granter, clock_now_ms (s->config.clock));
+    permit_granter_become_leader (s->granter, clock_now_ms (s->config.clock));
   else
     {
       permit_granter_step_down (s->granter);
@@ -247,7 +247,7 @@
   propose (s, &command, now_ms);
 }
 
-/* Proposes the record that one out command is in force; true when one was proposed.  */
+/* Proposes recording that an out command is in force; returns false if there is none.  */
 static bool
 propose_in_force (struct registry_service *s, int64_t now_ms)
 {
@@ -255,13 +255,14 @@
   size_t n = registry_data_centres (s->config.registry, &all);
   registry_command command = { .request_id = (char *)"" };
   command.body.kind = REGISTRY_IN_FORCE;
-  if (!permit_granter_report (s->granter, all, n, now_ms, &command.body.registry_body_u.in_force))
+  if (!permit_granter_next_in_force (s->granter, all, n, now_ms,
+                                     &command.body.registry_body_u.in_force))
     return false;
   propose (s, &command, now_ms);
   return true;
 }
 
-/* Brings the members of the group in line with the members that the registry lists.  */
+/* Reconciles the members of the group with the members in the registry.  */
 static void
 reconcile_members (struct registry_service *s, int64_t now_ms)
 {
@@ -280,7 +281,7 @@
 {
   if (!s->group || !group_is_leader (s->group) || s->proposing || now_ms < s->next_proposal_ms)
     return;
-  /* Not "nothing applied": an operators' command may reach a new registry before its members.  */
+  /* Not registry_applied () == 0: an operator's command may be applied before the members.  */
   const registry_member *all;
   if (registry_members (s->config.registry, &all) == 0)
     {
--- a/tests/test_plans.c
+++ b/tests/test_plans.c
@@ -1,6 +1,5 @@
-/* Guards against a list edit that is accepted with a fault in it, a fault that is reported without
-   its place or one at a time, a crash on damaged files, and a lookup or diff that misses a change.
- */
+/* Guards against an invalid list edit that is accepted, errors reported without position or one at
+   a time, a crash on corrupted files, and a lookup or diff that misses a change.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,18 +31,18 @@
   return plans_parse (&a, &b, faults);
 }
 
-/* One fault of one edit, and where it must be reported.  */
-struct refusal
+/* An edit with one error, and the expected report.  */
+struct invalid_edit
 {
   const char *plans;
   const char *customers;
   const char *file;
   int line;
   const char *path;
-  const char *reason; /* part of it */
+  const char *reason; /* substring of the reason */
 };
 
-static const struct refusal refusals[] = {
+static const struct invalid_edit invalid_edits[] = {
   { ONE_PLAN, "{\n\"customers\":[\n{\"id\":\"c\",\n\"plan\":\"q\"}]}", "customers.json", 4,
     "$.customers[0].plan", "unknown plan 'q'" },
   { ONE_PLAN, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"},\n{\"id\":\"c\",\"plan\":\"p\"}]}",
@@ -89,9 +88,9 @@
 test_each_fault_has_its_place (void **state)
 {
   (void)state;
-  for (size_t i = 0; i < sizeof refusals / sizeof *refusals; i++)
+  for (size_t i = 0; i < sizeof invalid_edits / sizeof *invalid_edits; i++)
     {
-      const struct refusal *r = &refusals[i];
+      const struct invalid_edit *r = &invalid_edits[i];
       struct json_faults faults;
       assert_null (parse (r->plans, r->customers, &faults));
       assert_int_equal (faults.count, 1);
@@ -200,9 +199,9 @@
   plans_unref (b);
 }
 
-/* Damages a copy of TEXT at a few places.  */
+/* Corrupts TEXT in place at one to six positions.  */
 static void
-damage (struct rng *rng, struct buffer *text)
+corrupt (struct rng *rng, struct buffer *text)
 {
   static const char tokens[] = "{}[]\",:\\-0919eE.tfn\n\x80\xff";
   uint64_t changes = 1 + rng_below (rng, 6);
@@ -219,14 +218,14 @@
 }
 
 static void
-check_damaged (struct rng *rng, const char *plans_text, const char *customers_text)
+check_corrupted (struct rng *rng, const char *plans_text, const char *customers_text)
 {
   struct buffer plans = { 0 };
   struct buffer customers = { 0 };
   struct json_faults faults = { 0 };
   buffer_append (&plans, plans_text, strlen (plans_text));
   buffer_append (&customers, customers_text, strlen (customers_text));
-  damage (rng, rng_chance (rng, 0.5) ? &plans : &customers);
+  corrupt (rng, rng_chance (rng, 0.5) ? &plans : &customers);
   struct json_source a = { "plans", plans.data, plans.len };
   struct json_source b = { "customers", customers.data, customers.len };
   struct plans *p = plans_parse (&a, &b, &faults);
@@ -247,7 +246,7 @@
   (void)state;
   rng_init (&rng, 20261204);
   for (int i = 0; i < FUZZ_ROUNDS; i++)
-    check_damaged (&rng, plans, ONE_CUSTOMER);
+    check_corrupted (&rng, plans, ONE_CUSTOMER);
 }
 
 static void
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -1,6 +1,6 @@
-/* Guards against two edits of one version that both win, a repeated command that takes effect twice
-   (also after a snapshot), a version that goes back, a node id that is used twice, replicas that
-   differ after the same log, and a crash on a damaged command or snapshot.  */
+/* Guards against two accepted edits of one version, a repeated command that is executed twice (also
+   after a snapshot), a version that decreases, a reused node id, replicas that diverge after the
+   same log, and a crash on a corrupted command or snapshot.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -23,7 +23,7 @@
 #define CUSTOMERS "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"
 #define FUZZ_ROUNDS 3000
 
-/* A registry with the index of its log.  */
+/* A registry with its log index and clock.  */
 struct fixture
 {
   struct registry *r;
@@ -43,7 +43,7 @@
   return result;
 }
 
-/* Applies a command; the message is checked by few tests, so it is released here.  */
+/* Applies a command; frees the message of the result, as few tests check it.  */
 static registry_result
 apply (struct fixture *f, registry_command *c)
 {
@@ -139,7 +139,7 @@
   return out;
 }
 
-/* As after a restart: a new registry from the snapshot.  */
+/* Simulates a restart: loads the snapshot into a new registry.  */
 static void
 reload (struct fixture *f)
 {
@@ -193,7 +193,7 @@
 }
 
 static void
-test_oldest_answers_make_room (void **state)
+test_oldest_answers_evicted (void **state)
 {
   struct fixture f = open_fixture ();
   char id[32];
@@ -401,10 +401,10 @@
 static void
 random_command (struct fixture *f, struct rng *rng)
 {
-  static const char *const places[] = { "a", "b", "c" };
+  static const char *const data_centres[] = { "a", "b", "c" };
   static const char *const vms[] = { "a1", "b1", "c1", "c2" };
   char id[16];
-  const char *dc = places[rng_below (rng, 3)];
+  const char *dc = data_centres[rng_below (rng, 3)];
   const char *vm = vms[rng_below (rng, 4)];
   snprintf (id, sizeof id, "q%" PRIu64, rng_below (rng, 60));
   switch (rng_below (rng, 7))
@@ -430,7 +430,7 @@
     }
 }
 
-/* Two replicas, one of which restarts from snapshots, and versions that only grow.  */
+/* Two replicas, one of which restarts from snapshots, stay equal; versions never decrease.  */
 static void
 test_replicas_agree (void **state)
 {
@@ -441,8 +441,8 @@
       struct fixture g = open_fixture ();
       struct rng rng_f;
       struct rng rng_g;
-      uint64_t lists = 0;
-      uint64_t places = 0;
+      uint64_t lists_version = 0;
+      uint64_t dc_version = 0;
       rng_init (&rng_f, seed);
       rng_init (&rng_g, seed);
       for (int i = 0; i < 300; i++)
@@ -452,9 +452,9 @@
           if (i % 50 == 7)
             reload (&g);
           uint64_t now = registry_find_data_centre (f.r, "a")->state_version;
-          assert_true (registry_lists (f.r).version >= lists && now >= places);
-          lists = registry_lists (f.r).version;
-          places = now;
+          assert_true (registry_lists (f.r).version >= lists_version && now >= dc_version);
+          lists_version = registry_lists (f.r).version;
+          dc_version = now;
         }
       struct buffer a = save (&f);
       struct buffer b = save (&g);
@@ -467,7 +467,7 @@
     }
 }
 
-/* Damaged lists are logged as errors, thousands of times here.  */
+/* Corrupted lists are logged as errors, thousands of times in these tests.  */
 static int
 silence_log (void)
 {
@@ -486,7 +486,7 @@
 }
 
 static void
-damage (struct rng *rng, struct buffer *bytes)
+corrupt (struct rng *rng, struct buffer *bytes)
 {
   uint64_t changes = 1 + rng_below (rng, 4);
   for (uint64_t i = 0; i < changes; i++)
@@ -521,7 +521,7 @@
           c.body.registry_body_u.lists = (registry_set_lists){ 0, PLANS, CUSTOMERS };
         }
       registry_encode (&c, &bytes, NULL);
-      damage (&rng, &bytes);
+      corrupt (&rng, &bytes);
       registry_result result = apply_bytes (&f, bytes.data, bytes.len);
       registry_result_free (&result);
       if (registry_decode_result (bytes.data, bytes.len, &result, NULL) == 0)
@@ -551,7 +551,7 @@
       struct registry *r = registry_new ();
       struct machine *m = registry_machine (r);
       buffer_append (&bytes, good.data, good.len);
-      damage (&rng, &bytes);
+      corrupt (&rng, &bytes);
       refused += m->ops->load (m, bytes.data, bytes.len, &st) < 0 ? 1 : 0;
       registry_free (r);
       buffer_close (&bytes);
@@ -568,7 +568,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_one_of_two_equal_edits_wins),
     cmocka_unit_test (test_repeat_gets_the_first_answer_also_after_restart),
-    cmocka_unit_test (test_oldest_answers_make_room),
+    cmocka_unit_test (test_oldest_answers_evicted),
     cmocka_unit_test (test_order_of_indexes_and_snapshots),
     cmocka_unit_test (test_out_twice_and_return_during_out),
     cmocka_unit_test (test_acknowledgement_is_for_one_out_command),
