--- a/src/request/admission.c
+++ b/src/request/admission.c
@@ -5,9 +5,9 @@
 
 #include "buffer.h"
 
-#define WAIT_FRACTION 0.5    /* of the time to the deadline that the expected wait may take */
-#define SERVICE_FRACTION 0.5 /* of the mean service time that must be left when served */
-#define SERVICE_WEIGHT 0.05  /* of a new sample in the mean */
+#define MAX_WAIT_FRACTION 0.5    /* of the time to the deadline that the expected wait may use */
+#define MIN_SERVICE_FRACTION 0.5 /* of the mean service time that must remain at the start */
+#define SERVICE_WEIGHT 0.05      /* of a new sample in the moving averages */
 
 enum class
 {
@@ -29,13 +29,13 @@
 {
   struct admission_config config;
   TAILQ_HEAD (, admission_customer) customers;
-  struct admission_items ages[CLASSES];
+  struct admission_items by_age[CLASSES];
   unsigned queued[CLASSES];
   unsigned serving;
-  unsigned urgent_run;      /* urgent requests popped since the last batch one */
+  unsigned urgent_in_row;   /* urgent requests popped since the last batch one */
   double service_ms;        /* moving average, 0 before the first answer */
-  double class_ms[CLASSES]; /* the same by class */
-  int64_t scan_ms;          /* no queued request can miss its deadline before this time */
+  double class_ms[CLASSES]; /* moving average by class */
+  int64_t next_scan_ms;     /* no queued request expires before this time */
 };
 
 struct admission *
@@ -44,9 +44,9 @@
   struct admission *a = xcalloc (1, sizeof *a);
   a->config = *config;
   TAILQ_INIT (&a->customers);
-  TAILQ_INIT (&a->ages[URGENT]);
-  TAILQ_INIT (&a->ages[BATCH]);
-  a->scan_ms = INT64_MAX;
+  TAILQ_INIT (&a->by_age[URGENT]);
+  TAILQ_INIT (&a->by_age[BATCH]);
+  a->next_scan_ms = INT64_MAX;
   return a;
 }
 
@@ -80,7 +80,7 @@
 }
 
 static void
-forget_idle (struct admission *a, struct admission_customer *c)
+remove_idle_customer (struct admission *a, struct admission_customer *c)
 {
   if (c->serving > 0 || !TAILQ_EMPTY (&c->queues[URGENT]) || !TAILQ_EMPTY (&c->queues[BATCH]))
     return;
@@ -97,7 +97,7 @@
 {
   enum class k = class_of (item);
   TAILQ_REMOVE (&item->customer->queues[k], item, link);
-  TAILQ_REMOVE (&a->ages[k], item, age_link);
+  TAILQ_REMOVE (&a->by_age[k], item, age_link);
   a->queued[k]--;
   item->queued = false;
 }
@@ -114,7 +114,7 @@
   return a->serving;
 }
 
-/* Requests ahead of a newcomer, at the rate at which the requests in service end.  */
+/* Queued requests ahead of a new one, divided by the completion rate of those in service.  */
 int64_t
 admission_wait_ms (const struct admission *a, bool urgent, int64_t now_ms)
 {
@@ -126,9 +126,9 @@
 }
 
 static int64_t
-last_start_ms (const struct admission *a, const struct admission_item *item)
+latest_start_ms (const struct admission *a, const struct admission_item *item)
 {
-  return item->deadline_ms - (int64_t)(a->class_ms[class_of (item)] * SERVICE_FRACTION);
+  return item->deadline_ms - (int64_t)(a->class_ms[class_of (item)] * MIN_SERVICE_FRACTION);
 }
 
 static int
@@ -140,7 +140,7 @@
   if (!a->config.deadline_aware)
     return 0;
   int64_t wait = admission_wait_ms (a, urgent, now_ms);
-  if ((double)wait > WAIT_FRACTION * (double)(deadline_ms - now_ms))
+  if ((double)wait > MAX_WAIT_FRACTION * (double)(deadline_ms - now_ms))
     return status_set (st, STATUS_OVERLOADED, "expected wait %lld ms, deadline in %lld ms",
                        (long long)wait, (long long)(deadline_ms - now_ms));
   return 0;
@@ -153,7 +153,7 @@
     return 0;
   if (!urgent || a->queued[BATCH] == 0)
     return status_set (st, STATUS_OVERLOADED, "%u requests are waiting", admission_queued (a));
-  *evicted = TAILQ_LAST (&a->ages[BATCH], admission_items);
+  *evicted = TAILQ_LAST (&a->by_age[BATCH], admission_items);
   admission_remove (a, *evicted);
   return 0;
 }
@@ -185,10 +185,10 @@
   item->queued = true;
   item->customer = get_customer (a, customer);
   TAILQ_INSERT_TAIL (&item->customer->queues[k], item, link);
-  TAILQ_INSERT_TAIL (&a->ages[k], item, age_link);
+  TAILQ_INSERT_TAIL (&a->by_age[k], item, age_link);
   a->queued[k]++;
-  if (last_start_ms (a, item) < a->scan_ms)
-    a->scan_ms = last_start_ms (a, item);
+  if (latest_start_ms (a, item) < a->next_scan_ms)
+    a->next_scan_ms = latest_start_ms (a, item);
   return 0;
 }
 
@@ -209,15 +209,15 @@
   return slots > 0 ? slots : 1;
 }
 
-/* The customer with the least service for its share.  Urgent requests over the share go only when
-   nobody else waits; batch requests over the share wait, since a long one cannot be stopped when
-   others come.  */
+/* The customer that uses the least of its share.  Urgent requests over the share are served only
+   when no other customer waits; batch requests over the share wait, since a long one cannot be
+   preempted when others arrive.  */
 static struct admission_customer *
 next_customer (const struct admission *a, enum class k)
 {
   struct admission_customer *c;
   struct admission_customer *best = NULL;
-  struct admission_customer *spare = NULL;
+  struct admission_customer *fallback = NULL;
   double best_use = 0.0;
   TAILQ_FOREACH (c, &a->customers, link)
   {
@@ -226,7 +226,7 @@
     unsigned slots = slots_of (a, c);
     if (over_share (a, c, k, slots))
       {
-        spare = spare || k == BATCH ? spare : c;
+        fallback = fallback || k == BATCH ? fallback : c;
         continue;
       }
     double use = (double)c->serving / slots;
@@ -236,7 +236,7 @@
         best_use = use;
       }
   }
-  return best ? best : spare;
+  return best ? best : fallback;
 }
 
 static struct admission_item *
@@ -251,7 +251,7 @@
   if (k == BATCH)
     c->serving_batch++;
   a->serving++;
-  a->urgent_run = k == URGENT ? a->urgent_run + 1 : 0;
+  a->urgent_in_row = k == URGENT ? a->urgent_in_row + 1 : 0;
   TAILQ_REMOVE (&a->customers, c, link);
   TAILQ_INSERT_TAIL (&a->customers, c, link);
   return item;
@@ -260,7 +260,7 @@
 struct admission_item *
 admission_pop (struct admission *a, int64_t now_ms)
 {
-  bool batch_first = a->urgent_run >= ADMISSION_URGENT_RUN;
+  bool batch_first = a->urgent_in_row >= ADMISSION_MAX_URGENT_IN_ROW;
   (void)now_ms;
   struct admission_item *item = pop_class (a, batch_first ? BATCH : URGENT);
   return item ? item : pop_class (a, batch_first ? URGENT : BATCH);
@@ -271,12 +271,12 @@
 {
   struct admission_item *item;
   int64_t earliest = INT64_MAX;
-  if (now_ms < a->scan_ms)
+  if (now_ms < a->next_scan_ms)
     return NULL;
   for (int k = URGENT; k < CLASSES; k++)
-    TAILQ_FOREACH (item, &a->ages[k], age_link)
+    TAILQ_FOREACH (item, &a->by_age[k], age_link)
     {
-      int64_t last = a->config.deadline_aware ? last_start_ms (a, item) : item->deadline_ms;
+      int64_t last = a->config.deadline_aware ? latest_start_ms (a, item) : item->deadline_ms;
       if (now_ms >= last)
         {
           admission_remove (a, item);
@@ -285,16 +285,16 @@
       if (last < earliest)
         earliest = last;
     }
-  a->scan_ms = earliest;
+  a->next_scan_ms = earliest;
   return NULL;
 }
 
 struct admission_item *
 admission_pop_any (struct admission *a)
 {
-  struct admission_item *item = TAILQ_FIRST (&a->ages[URGENT]);
+  struct admission_item *item = TAILQ_FIRST (&a->by_age[URGENT]);
   if (!item)
-    item = TAILQ_FIRST (&a->ages[BATCH]);
+    item = TAILQ_FIRST (&a->by_age[BATCH]);
   if (item)
     admission_remove (a, item);
   return item;
@@ -306,12 +306,12 @@
   if (!item->queued)
     return;
   unlink_item (a, item);
-  forget_idle (a, item->customer);
+  remove_idle_customer (a, item->customer);
   item->customer = NULL;
 }
 
 static void
-average (double *mean, double value)
+update_mean (double *mean, double value)
 {
   if (*mean <= 0.0)
     *mean = value;
@@ -326,13 +326,13 @@
   (void)now_ms;
   if (answered)
     {
-      average (&a->service_ms, service_ms);
-      average (&a->class_ms[class_of (item)], service_ms);
+      update_mean (&a->service_ms, service_ms);
+      update_mean (&a->class_ms[class_of (item)], service_ms);
     }
   c->serving--;
   if (!item->urgent)
     c->serving_batch--;
   a->serving--;
   item->customer = NULL;
-  forget_idle (a, c);
+  remove_idle_customer (a, c);
 }
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -10,12 +10,12 @@
 
 #define NAME_BYTES (PEER_NAME_BYTES + 1)
 #define BUCKETS 256
-#define WANT_MORE_PERCENT 80 /* of its part in use: asks for more */
-#define WANT_MORE_MS 1000    /* after a refusal */
+#define WANT_MORE_PERCENT 80 /* share in use above which an entry asks for a loan */
+#define WANT_MORE_MS 1000    /* time after a refusal in which an entry asks for a loan */
 #define RATE_WINDOW_MS 1000
-#define NEED_FACTOR 1.25 /* of what is in use is kept for growth */
+#define HEADROOM_FACTOR 1.25 /* multiple of the current use that is not lent */
 
-/* Two kinds of limits are lent alike.  */
+/* Limits that entries lend to each other.  */
 enum kind
 {
   IN_FLIGHT,
@@ -23,23 +23,22 @@
   KINDS
 };
 
-/* A loan as the lender counts it: the smaller one that follows does not end the larger one early.
- */
+/* The lender's record of a loan: a smaller loan does not end a larger earlier one early.  */
 struct loan
 {
   unsigned amount[2];
   int64_t until_ms[2];
 };
 
-/* One customer's dealings with one other entry.  */
-struct account
+/* Loans of one customer's limits to and from one peer.  */
+struct peer_loans
 {
   struct peer *peer;
   struct loan lent[KINDS];
   unsigned borrowed[KINDS];
   int64_t borrowed_until_ms;
-  int64_t wanted_ms[KINDS]; /* when the peer last asked, 0 for never */
-  SLIST_ENTRY (account) link;
+  int64_t wanted_ms[KINDS]; /* when the peer last asked for a loan, 0 for never */
+  SLIST_ENTRY (peer_loans) link;
 };
 
 struct customer
@@ -53,7 +52,7 @@
   double rate;       /* arrivals per second in the last window */
   int64_t window_ms;
   int64_t refused_ms[KINDS]; /* last refusal, 0 for none */
-  SLIST_HEAD (, account) accounts;
+  SLIST_HEAD (, peer_loans) peer_loans;
   LIST_ENTRY (customer) bucket_link;
   LIST_ENTRY (customer) link;
 };
@@ -97,10 +96,10 @@
 static void
 free_customer (struct customer *c)
 {
-  while (!SLIST_EMPTY (&c->accounts))
+  while (!SLIST_EMPTY (&c->peer_loans))
     {
-      struct account *a = SLIST_FIRST (&c->accounts);
-      SLIST_REMOVE_HEAD (&c->accounts, link);
+      struct peer_loans *a = SLIST_FIRST (&c->peer_loans);
+      SLIST_REMOVE_HEAD (&c->peer_loans, link);
       free (a);
     }
   LIST_REMOVE (c, bucket_link);
@@ -148,7 +147,7 @@
   c->refilled_ms = now_ms;
   c->window_ms = now_ms;
   c->tokens = -1.0;
-  SLIST_INIT (&c->accounts);
+  SLIST_INIT (&c->peer_loans);
   LIST_INSERT_HEAD (&l->buckets[bucket_of (name)], c, bucket_link);
   LIST_INSERT_HEAD (&l->customers, c, link);
   return c;
@@ -160,12 +159,12 @@
   return k == RATE ? c->plan.rate : c->plan.concurrency;
 }
 
-/* The equal part of this entry; at least one, so that a small limit blocks no entry.  */
+/* This entry's equal share; at least one, so that a small limit blocks no entry.  */
 static unsigned
-part_of (const struct limit *l, const struct customer *c, enum kind k)
+equal_share (const struct limit *l, const struct customer *c, enum kind k)
 {
-  unsigned part = total_of (c, k) / l->entries;
-  return part < 1 ? 1 : part;
+  unsigned share = total_of (c, k) / l->entries;
+  return share < 1 ? 1 : share;
 }
 
 static unsigned
@@ -179,22 +178,22 @@
 static unsigned
 lent_to_all (const struct customer *c, enum kind k, int64_t now_ms)
 {
-  const struct account *a;
+  const struct peer_loans *a;
   unsigned sum = 0;
-  SLIST_FOREACH (a, &c->accounts, link)
+  SLIST_FOREACH (a, &c->peer_loans, link)
   sum += lent_now (&a->lent[k], now_ms);
   return sum;
 }
 
-/* What this entry may use now.  */
+/* Current limit of this entry: its share less loans given plus loans received.  */
 static unsigned
 allowance (const struct limit *l, const struct customer *c, enum kind k, int64_t now_ms)
 {
-  const struct account *a;
-  unsigned part = part_of (l, c, k);
+  const struct peer_loans *a;
+  unsigned share = equal_share (l, c, k);
   unsigned lent = lent_to_all (c, k, now_ms);
-  unsigned sum = lent < part ? part - lent : 0;
-  SLIST_FOREACH (a, &c->accounts, link)
+  unsigned sum = lent < share ? share - lent : 0;
+  SLIST_FOREACH (a, &c->peer_loans, link)
   if (now_ms < a->borrowed_until_ms)
     sum += a->borrowed[k];
   return sum;
@@ -254,7 +253,7 @@
   return 0;
 }
 
-/* An entry that has just started must not call a customer unknown before it knows the plans.  */
+/* A starting entry must not report a customer as unknown before it has loaded the plans.  */
 static int
 refuse_unknown (const struct limit *l, const char *customer, struct status *st)
 {
@@ -346,39 +345,39 @@
     return false;
   if (c->refused_ms[k] > 0 && now_ms - c->refused_ms[k] < WANT_MORE_MS)
     return true;
-  return used (c, k, now_ms) * 100.0 >= (double)part_of (l, c, k) * WANT_MORE_PERCENT;
+  return used (c, k, now_ms) * 100.0 >= (double)equal_share (l, c, k) * WANT_MORE_PERCENT;
 }
 
 static unsigned
 count_borrowers (const struct customer *c, enum kind k, int64_t now_ms)
 {
-  const struct account *a;
+  const struct peer_loans *a;
   unsigned n = 0;
-  SLIST_FOREACH (a, &c->accounts, link)
+  SLIST_FOREACH (a, &c->peer_loans, link)
   if (a->wanted_ms[k] > 0 && now_ms - a->wanted_ms[k] < LIMIT_LOAN_MS)
     n++;
   return n;
 }
 
-/* What can be lent to each entry that asks: the part without a reserve, without what is in use here
-   and a quarter more, and without what others hold.  */
+/* What can be lent to each entry that asks: the share less the reserve or the current use and a
+   quarter more, whichever is larger, and less what is lent to others.  */
 static unsigned
-lendable (const struct limit *l, const struct customer *c, const struct account *to, enum kind k,
+lendable (const struct limit *l, const struct customer *c, const struct peer_loans *to, enum kind k,
           int64_t now_ms)
 {
-  unsigned part = part_of (l, c, k);
+  unsigned share = equal_share (l, c, k);
   unsigned borrowers = count_borrowers (c, k, now_ms);
-  double keep = ceil (part * LIMIT_KEEP_FRACTION);
-  double need = ceil (used (c, k, now_ms) * NEED_FACTOR) + 1.0;
-  keep = need > keep ? need : keep;
+  double reserve = ceil (share * LIMIT_RESERVE_FRACTION);
+  double need = ceil (used (c, k, now_ms) * HEADROOM_FACTOR) + 1.0;
+  reserve = need > reserve ? need : reserve;
   if (total_of (c, k) == LIMIT_NONE || total_of (c, k) < l->entries || borrowers == 0
-      || to->wanted_ms[k] == 0 || now_ms - to->wanted_ms[k] >= LIMIT_LOAN_MS || part <= keep
+      || to->wanted_ms[k] == 0 || now_ms - to->wanted_ms[k] >= LIMIT_LOAN_MS || share <= reserve
       || wants_more (l, c, k, now_ms))
     return 0;
   unsigned others = lent_to_all (c, k, now_ms) - lent_now (&to->lent[k], now_ms);
-  unsigned free_part = part - (unsigned)keep;
-  unsigned each = free_part / borrowers;
-  unsigned left = free_part > others ? free_part - others : 0;
+  unsigned free_share = share - (unsigned)reserve;
+  unsigned each = free_share / borrowers;
+  unsigned left = free_share > others ? free_share - others : 0;
   return each < left ? each : left;
 }
 
@@ -400,16 +399,16 @@
   loan->until_ms[place] = now_ms + LIMIT_LOAN_MS;
 }
 
-static struct account *
-find_account (struct customer *c, struct peer *peer)
+static struct peer_loans *
+find_peer_loans (struct customer *c, struct peer *peer)
 {
-  struct account *a;
-  SLIST_FOREACH (a, &c->accounts, link)
+  struct peer_loans *a;
+  SLIST_FOREACH (a, &c->peer_loans, link)
   if (a->peer == peer)
     return a;
   a = xcalloc (1, sizeof *a);
   a->peer = peer;
-  SLIST_INSERT_HEAD (&c->accounts, a, link);
+  SLIST_INSERT_HEAD (&c->peer_loans, a, link);
   return a;
 }
 
@@ -430,7 +429,7 @@
 report_customer (struct limit *l, struct customer *c, struct peer *peer, int64_t now_ms,
                  customer_usage *out)
 {
-  struct account *a = find_account (c, peer);
+  struct peer_loans *a = find_peer_loans (c, peer);
   out->lent = lendable (l, c, a, IN_FLIGHT, now_ms);
   out->lent_rate = lendable (l, c, a, RATE, now_ms);
   out->wants = wants_more (l, c, IN_FLIGHT, now_ms);
@@ -459,12 +458,12 @@
 }
 
 static void
-forget_loans (struct limit *l, struct peer *peer)
+reset_loans (struct limit *l, struct peer *peer)
 {
   struct customer *c;
-  struct account *a;
+  struct peer_loans *a;
   LIST_FOREACH (c, &l->customers, link)
-  SLIST_FOREACH (a, &c->accounts, link)
+  SLIST_FOREACH (a, &c->peer_loans, link)
   if (a->peer == peer)
     {
       a->borrowed_until_ms = 0;
@@ -477,7 +476,7 @@
 handle_usage (struct customer *c, struct peer *peer, const customer_usage *u, uint64_t echo,
               int64_t now_ms)
 {
-  struct account *a = find_account (c, peer);
+  struct peer_loans *a = find_peer_loans (c, peer);
   bool timely = echo > 0 && echo <= (uint64_t)now_ms;
   a->borrowed[IN_FLIGHT] = u->lent;
   a->borrowed[RATE] = u->lent_rate;
@@ -491,7 +490,7 @@
                      int64_t now_ms)
 {
   struct peer *peer = find_peer (l, entry);
-  forget_loans (l, peer);
+  reset_loans (l, peer);
   for (unsigned i = 0; i < d->usage.usage_len; i++)
     {
       const customer_usage *u = &d->usage.usage_val[i];
--- a/src/request/retry.c
+++ b/src/request/retry.c
@@ -97,8 +97,8 @@
   l->count += 1.0;
 }
 
-/* What would have answered later never shows in the latencies, so without this a timeout that is
-   too short would stay so.  */
+/* Answers cut off by the timeout never enter the histogram, so without this sample a timeout that
+   is too short would never grow.  */
 void
 retry_latency_add_timeout (struct retry_latency *l, int64_t waited_ms, int64_t now_ms)
 {
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -1,10 +1,10 @@
-/* retry: which tries may be repeated, how many, when, and how long a try may take.
+/* retry: which tries may be repeated, how often and when, and the timeout of a try.
 
-   The budget gives RETRY_BUDGET_RATIO tokens per request and takes one per retry or hedge, so the
-   tries are at most 1.1 times the requests, whatever fails.  Timeouts and hedge delays come from
-   the latencies of recent answers of the same service.
+   The budget earns RETRY_BUDGET_RATIO tokens per request and spends one per retry or hedge, so
+   there are at most 1.1 tries per request, whatever fails.  Timeouts and hedge delays come from the
+   latencies of recent answers of the same service.
 
-   Pure.  Source: design page section 7.  */
+   Does no I/O and reads no clock.  Source: design page section 7.  */
 
 #ifndef SASSAFRAS_RETRY_H
 #define SASSAFRAS_RETRY_H
@@ -15,7 +15,7 @@
 #include "rng.h"
 
 #define RETRY_BUDGET_RATIO 0.1
-#define RETRY_BUDGET_MAX 100.0 /* tokens kept at most: what 1000 requests earn */
+#define RETRY_BUDGET_MAX 100.0 /* token limit: what 1000 requests earn */
 #define RETRY_MAX_TRIES 3
 #define RETRY_BACKOFF_BASE_MS 10
 #define RETRY_BACKOFF_MAX_MS 250
@@ -29,16 +29,16 @@
 enum retry_cause
 {
   RETRY_NOT_SENT, /* no byte reached a runner */
-  RETRY_NOT_RUN,  /* the runner said that the request did not run */
+  RETRY_NOT_RUN,  /* the runner reported that the request did not run */
   RETRY_FAILED,   /* bytes were sent; the request may have run */
 };
 
-/* What is known of one request.  */
+/* State of one request that decides about retries.  */
 struct retry_request
 {
   bool idempotent;   /* GET, HEAD, OPTIONS, PUT or DELETE, and not unrepeatable */
-  bool replayable;   /* its whole body so far is still held */
-  bool answer_begun; /* the caller has seen part of an answer */
+  bool replayable;   /* its body is still buffered from the first byte */
+  bool answer_begun; /* part of an answer was sent to the caller */
   unsigned tries;    /* tries started so far */
   int64_t deadline_ms;
 };
@@ -51,7 +51,7 @@
   bool unlimited; /* baseline for benchmarks: naive retry */
 };
 
-/* Latencies of recent answers, in buckets 1.2 times apart, halved now and then.  */
+/* Histogram of recent latencies: bucket bounds grow by 1.2, counts are halved every 10 s.  */
 struct retry_latency
 {
   double buckets[RETRY_BUCKETS];
@@ -60,12 +60,12 @@
 };
 
 void retry_budget_init (struct retry_budget *b);    /* Starts empty. */
-void retry_budget_request (struct retry_budget *b); /* A request arrived: earns its tokens. */
-bool retry_budget_take (struct retry_budget *b);    /* Takes one token if there is one. */
+void retry_budget_request (struct retry_budget *b); /* Earns the tokens of one request. */
+bool retry_budget_take (struct retry_budget *b);    /* Spends a token; false when none is left. */
 bool retry_allowed (const struct retry_request *q, enum retry_cause cause,
-                    int64_t now_ms); /* Safe to try again, budget apart. */
+                    int64_t now_ms); /* Whether a retry is safe, regardless of the budget. */
 bool retry_hedge_allowed (const struct retry_request *q,
-                          bool urgent);            /* Safe and useful to send a second copy. */
+                          bool urgent);            /* Whether a hedge is safe and useful. */
 bool retry_method_idempotent (const char *method); /* By RFC 9110 section 9.2.2. */
 int64_t retry_backoff_ms (struct rng *rng, unsigned tries); /* Jittered wait before the next try. */
 void retry_latency_add (struct retry_latency *l, double ms,
@@ -73,8 +73,8 @@
 double retry_latency_quantile (const struct retry_latency *l,
                                double q); /* 0 with too few samples. */
 void retry_latency_add_timeout (struct retry_latency *l, int64_t waited_ms,
-                                int64_t now_ms);              /* A try was given up after WAITED. */
+                                int64_t now_ms);              /* A try timed out after WAITED_MS. */
 int64_t retry_try_timeout_ms (const struct retry_latency *l); /* For a try that may be repeated. */
-int64_t retry_hedge_delay_ms (const struct retry_latency *l); /* 0: do not hedge yet. */
+int64_t retry_hedge_delay_ms (const struct retry_latency *l); /* 0 with too few samples. */
 
 #endif
--- a/tests/test_admission.c
+++ b/tests/test_admission.c
@@ -1,5 +1,5 @@
-/* Guards against a queue that grows without bound, lets batch delay urgent requests, starves batch
-   or a small customer, or spends work on requests whose deadline cannot be met.  */
+/* Guards against a queue that grows without bound, delays urgent requests behind batch, starves
+   batch or a small customer, or serves requests whose deadline cannot be met.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -55,7 +55,7 @@
       assert_ptr_equal (next, u);
       before++;
     }
-  assert_int_equal (before, ADMISSION_URGENT_RUN);
+  assert_int_equal (before, ADMISSION_MAX_URGENT_IN_ROW);
   admission_close (a);
 }
 
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -1,5 +1,5 @@
-/* Guards against customers who get more than their plan over all entries, or much less when their
-   requests arrive unevenly, also while entries are cut off from each other.  */
+/* Guards against customers who exceed their plan summed over all entries, or get much less when
+   their requests arrive unevenly, also while entries are partitioned.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -25,16 +25,16 @@
   return strcmp (customer, "stranger") != 0;
 }
 
-struct rig
+struct fixture
 {
   struct limit_plan plan;
   struct limit *entries[ENTRIES];
   unsigned in_flight[ENTRIES];
-  bool cut[ENTRIES];
+  bool partitioned[ENTRIES];
 };
 
 static void
-open_rig (struct rig *g, struct limit_plan plan)
+open_fixture (struct fixture *g, struct limit_plan plan)
 {
   memset (g, 0, sizeof *g);
   g->plan = plan;
@@ -44,15 +44,15 @@
 }
 
 static void
-close_rig (struct rig *g)
+close_fixture (struct fixture *g)
 {
   for (int i = 0; i < ENTRIES; i++)
     limit_close (g->entries[i]);
 }
 
-/* Every entry sends a digest to every other, unless one of them is cut off.  */
+/* Every entry sends a digest to every other, unless one of them is partitioned.  */
 static void
-exchange_reports (struct rig *g, int64_t now)
+exchange_reports (struct fixture *g, int64_t now)
 {
   for (int i = 0; i < ENTRIES; i++)
     for (int k = 0; k < ENTRIES; k++)
@@ -60,10 +60,10 @@
         struct runner_digest d;
         char from[8];
         char to[8];
-        if (k == i || g->cut[i] || g->cut[k])
+        if (k == i || g->partitioned[i] || g->partitioned[k])
           continue;
         memset (&d, 0, sizeof d);
-        d.echo = (uint64_t)now; /* asked by the receiver just before */
+        d.echo = (uint64_t)now; /* the receiver's clock value just before */
         snprintf (from, sizeof from, "e%d", i);
         snprintf (to, sizeof to, "e%d", k);
         limit_report (g->entries[i], to, now, &d);
@@ -73,7 +73,7 @@
 }
 
 static unsigned
-total (const struct rig *g)
+total (const struct fixture *g)
 {
   unsigned n = 0;
   for (int i = 0; i < ENTRIES; i++)
@@ -82,20 +82,20 @@
 }
 
 static void
-fill (struct rig *g, int entry, int64_t now)
+fill (struct fixture *g, int entry, int64_t now)
 {
   while (limit_enter (g->entries[entry], "huron", now, NULL) == 0)
     g->in_flight[entry]++;
 }
 
 static void
-leave (struct rig *g, int entry)
+leave (struct fixture *g, int entry)
 {
   limit_leave (g->entries[entry], "huron");
   g->in_flight[entry]--;
 }
 
-/* Guards against a plan with zero requests that counts as unlimited.  */
+/* Guards against treating a plan with zero requests as unlimited.  */
 static void
 test_plan_without_requests (void **state)
 {
@@ -110,14 +110,14 @@
 }
 
 static bool
-not_yet (void *arg)
+lists_unknown (void *arg)
 {
   (void)arg;
   return false;
 }
 
 static bool
-find_nobody (void *arg, const char *customer, struct limit_plan *out)
+lookup_none (void *arg, const char *customer, struct limit_plan *out)
 {
   (void)arg;
   (void)customer;
@@ -125,11 +125,11 @@
   return false;
 }
 
-/* Guards against an entry that calls customers unknown before it has caught up with the lists.  */
+/* Guards against reporting customers as unknown before the lists have been loaded.  */
 static void
-test_lists_not_known_yet (void **state)
+test_lists_not_loaded (void **state)
 {
-  struct limit_source source = { .lookup = find_nobody, .known = not_yet };
+  struct limit_source source = { .lookup = lookup_none, .known = lists_unknown };
   struct limit *l = limit_open (&source, 1, 0);
   struct status st;
   (void)state;
@@ -139,11 +139,11 @@
 }
 
 static void
-test_concurrency_everywhere (void **state)
+test_concurrency_over_entries (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
+  struct fixture g;
+  open_fixture (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
   for (int round = 0; round < 10; round++)
     {
       for (int i = 0; i < ENTRIES; i++)
@@ -156,17 +156,17 @@
   assert_int_equal (st.kind, STATUS_LIMIT_EXCEEDED);
   assert_int_equal (limit_enter (g.entries[0], "stranger", 5000, &st), -1);
   assert_int_equal (st.kind, STATUS_UNKNOWN_CUSTOMER);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
-/* All requests arrive at one entry, then everywhere: the sum never exceeds the limit by more than
-   what runs on, and the parts come back.  */
+/* All requests arrive at one entry, then at all: the sum never exceeds the limit by more than the
+   requests still running, and each entry gets its share back.  */
 static void
-test_one_entry_may_borrow_and_gives_back (void **state)
+test_one_entry_borrows_and_returns (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
+  struct fixture g;
+  open_fixture (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
   for (int64_t now = 1000; now <= 3000; now += 500)
     {
       fill (&g, 0, now);
@@ -188,48 +188,48 @@
     }
   for (int i = 0; i < ENTRIES; i++)
     assert_int_equal (g.in_flight[i], CONCURRENCY / ENTRIES);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
-test_cut_off_entries_keep_to_their_part (void **state)
+test_partitioned_entries_keep_equal_share (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
+  struct fixture g;
+  open_fixture (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
   for (int64_t now = 1000; now <= 2000; now += 500)
     {
       fill (&g, 0, now);
       exchange_reports (&g, now);
     }
   fill (&g, 0, 2000);
-  g.cut[0] = true;
+  g.partitioned[0] = true;
   while (g.in_flight[0] > 0)
     leave (&g, 0);
   for (int i = 0; i < ENTRIES; i++)
     fill (&g, i, 2000 + LIMIT_LOAN_MS);
   assert_int_equal (g.in_flight[0], CONCURRENCY / ENTRIES);
   assert_int_equal (total (&g), CONCURRENCY);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
-/* Random demand, cuts and delays.  Requests end at once here, so that allowances are seen without
-   what runs on: their sum never exceeds the limit.  */
+/* Random demand, partitions and delays.  Requests end at once, so that the counts show allowances
+   without running requests: their sum never exceeds the limit.  */
 static void
 test_allowances_never_exceed_the_limit (void **state)
 {
   (void)state;
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     {
-      struct rig g;
+      struct fixture g;
       struct rng rng;
       rng_init (&rng, seed);
-      open_rig (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
+      open_fixture (&g, (struct limit_plan){ .concurrency = CONCURRENCY });
       for (int64_t now = 1000; now < 61000; now += 50)
         {
           int busy = (int)rng_below (&rng, ENTRIES);
           if (rng_chance (&rng, 0.02))
-            g.cut[busy] = !g.cut[busy];
+            g.partitioned[busy] = !g.partitioned[busy];
           if (now % 500 == 0)
             {
               for (int i = 0; i < ENTRIES; i++)
@@ -247,7 +247,7 @@
             while (g.in_flight[i] > 0)
               leave (&g, i);
         }
-      close_rig (&g);
+      close_fixture (&g);
     }
 }
 
@@ -255,9 +255,9 @@
 test_rate (void **state)
 {
   (void)state;
-  struct rig g;
+  struct fixture g;
   unsigned passed = 0;
-  open_rig (&g, (struct limit_plan){ .rate = RATE });
+  open_fixture (&g, (struct limit_plan){ .rate = RATE });
   for (int64_t now = 0; now < 20000; now++)
     {
       for (int i = 0; i < ENTRIES; i++)
@@ -271,20 +271,20 @@
     }
   assert_in_range (passed, RATE * 10 * 95 / 100, RATE * 10 * 105 / 100);
   assert_in_range (limit_retry_after_ms (g.entries[0], "huron", 20000), 1, 1000);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
 test_share_of_slots (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, (struct limit_plan){ .share = 0.25 });
+  struct fixture g;
+  open_fixture (&g, (struct limit_plan){ .share = 0.25 });
   assert_int_equal (limit_enter (g.entries[0], "huron", 0, NULL), 0);
   assert_int_equal (limit_slots (g.entries[0], "huron", 40), 10);
   assert_int_equal (limit_slots (g.entries[0], "huron", 2), 1);
   assert_int_equal (limit_slots (g.entries[0], "kigali", 40), 40);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 int
@@ -292,10 +292,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_plan_without_requests),
-    cmocka_unit_test (test_lists_not_known_yet),
-    cmocka_unit_test (test_concurrency_everywhere),
-    cmocka_unit_test (test_one_entry_may_borrow_and_gives_back),
-    cmocka_unit_test (test_cut_off_entries_keep_to_their_part),
+    cmocka_unit_test (test_lists_not_loaded),
+    cmocka_unit_test (test_concurrency_over_entries),
+    cmocka_unit_test (test_one_entry_borrows_and_returns),
+    cmocka_unit_test (test_partitioned_entries_keep_equal_share),
     cmocka_unit_test (test_allowances_never_exceed_the_limit),
     cmocka_unit_test (test_rate),
     cmocka_unit_test (test_share_of_slots),
--- a/tests/test_retry.c
+++ b/tests/test_retry.c
@@ -1,5 +1,5 @@
-/* Guards against retry storms, against a second run of a request that may have run, and against
-   timeouts that cut off healthy answers.  */
+/* Guards against retry storms, against repeating a request that may have run, and against timeouts
+   that cut off healthy answers.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -89,7 +89,7 @@
   assert_in_range (retry_hedge_delay_ms (&l), 300, 365);
 }
 
-/* A timeout below the real latency must grow: answers that it cuts off are never measured.  */
+/* A timeout below the real latency must grow, although the answers it cuts off are not measured. */
 static void
 test_timeout_that_is_too_short_grows (void **state)
 {
