--- a/src/request/router.c
+++ b/src/request/router.c
@@ -6,18 +6,18 @@
 #include "buffer.h"
 
 #define LATENCY_WEIGHT 0.2     /* of a new sample in the moving averages */
-#define FAILURE_RATE_LIMIT 0.5 /* ejection above this rate */
-#define FAILURE_SAMPLES 10     /* answers needed before the rate counts */
-#define LIMIT_DECREASE 0.7     /* on a failure or refusal */
-#define SLOW_FACTOR 4.0        /* an answer is late above this many times the typical latency */
-#define SLOW_FLOOR_MS 5.0      /* smaller differences are never late */
-#define SLOW_RATE 0.5          /* a runner is slow when more of its answers are late */
+#define FAILURE_RATE_LIMIT 0.5 /* failure rate above which a runner is ejected */
+#define FAILURE_SAMPLES 10     /* minimum samples before the rate is used */
+#define LIMIT_DECREASE 0.7     /* factor on a failure or refusal */
+#define SLOW_FACTOR 4.0        /* answers above this multiple of the median are late */
+#define SLOW_FLOOR_MS 5.0      /* answers within this of the median are never late */
+#define SLOW_RATE 0.5          /* rate of late answers above which a runner is slow */
 #define SLOW_SAMPLES 5
-#define TYPICAL_STEP 0.02      /* part by which one answer moves the typical latency */
-#define PROBE_INTERVAL_MS 1000 /* between requests to a slow runner */
-#define REPORT_TRUST_MS 1500   /* older load reports are replaced by an assumption */
-#define INDEX_REFRESH_MS 200   /* runners that expired leave the index this soon */
-#define FORGIVE_MS 30000       /* without failures, after which ejections start short again */
+#define MEDIAN_STEP 0.02        /* relative change of the median per answer */
+#define PROBE_INTERVAL_MS 1000  /* between requests to a slow runner */
+#define REPORT_MAX_AGE_MS 1500  /* after this the load of other entries is assumed equal */
+#define INDEX_REFRESH_MS 200    /* expired runners leave the index within this time */
+#define EJECTION_RESET_MS 30000 /* after the last return; resets the ejection time */
 
 /* The runners of one service, rebuilt when the table changes.  */
 struct router_service
@@ -28,7 +28,7 @@
   unsigned capacity;
   uint64_t generation;
   int64_t built_ms;
-  double typical_ms[ROUTER_FAR + 1]; /* median latency by distance, 0 when unknown */
+  double median_ms[ROUTER_FAR + 1]; /* median latency by distance, 0 when unknown */
   struct router_service *next;
 };
 
@@ -43,9 +43,9 @@
   r->table = table;
   r->far_bytes = (double)config->far_bytes_per_s;
   r->far_updated_ms = now_ms;
-  r->entries_before = r->config.entries;
-  r->rank_before = r->config.rank;
-  r->growth_ms = now_ms;
+  r->previous_entries = r->config.entries;
+  r->previous_rank = r->config.rank;
+  r->share_growth_ms = now_ms;
   rng_init (&r->rng, config->seed);
 }
 
@@ -68,14 +68,14 @@
     entries = 1;
   if (entries == r->config.entries && rank == r->config.rank)
     return;
-  if (now_ms >= r->growth_ms)
+  if (now_ms >= r->share_growth_ms)
     {
-      r->entries_before = r->config.entries;
-      r->rank_before = r->config.rank;
+      r->previous_entries = r->config.entries;
+      r->previous_rank = r->config.rank;
     }
   r->config.entries = entries;
   r->config.rank = rank;
-  r->growth_ms = now_ms + ROUTER_SHARE_GROWTH_DELAY_MS;
+  r->share_growth_ms = now_ms + ROUTER_SHARE_GROWTH_DELAY_MS;
 }
 
 enum router_distance
@@ -89,8 +89,8 @@
   return ROUTER_FAR;
 }
 
-/* The remainder goes to different entries for different runners, by a hash of the runner's id that
-   all entries compute alike, so that the shares of one runner add up to its connections.  */
+/* The entries that get the remainder are chosen by a hash of the runner's id that all entries
+   compute alike, so that the shares of one runner add up to its connections.  */
 static unsigned
 share_of (const struct runner *runner, uint32_t total, unsigned entries, unsigned rank)
 {
@@ -102,19 +102,20 @@
 }
 
 static unsigned
-share_in_force (const struct router *r, const struct runner *runner, uint32_t total, int64_t now_ms)
+effective_share (const struct router *r, const struct runner *runner, uint32_t total,
+                 int64_t now_ms)
 {
   unsigned share = share_of (runner, total, r->config.entries, r->config.rank);
-  if (now_ms >= r->growth_ms)
+  if (now_ms >= r->share_growth_ms)
     return share;
-  unsigned before = share_of (runner, total, r->entries_before, r->rank_before);
+  unsigned before = share_of (runner, total, r->previous_entries, r->previous_rank);
   return before < share ? before : share;
 }
 
 unsigned
 router_share (const struct router *r, const struct runner *runner, int64_t now_ms)
 {
-  return share_in_force (r, runner, runner->info.connections, now_ms);
+  return effective_share (r, runner, runner->info.connections, now_ms);
 }
 
 static void
@@ -137,8 +138,8 @@
   s->built_ms = now_ms;
 }
 
-/* A service without live runners keeps no index, so that callers cannot grow the list by naming
-   services that do not exist.  */
+/* A service without live runners gets no index, so that requests for unknown services cannot grow
+   the list.  */
 static struct router_service *
 find_service (struct router *r, const char *name, int64_t now_ms)
 {
@@ -214,17 +215,17 @@
   const struct router_service *s = find_service (r, runner->info.service, now_ms);
   struct runner_load *load = &runner->load;
   unsigned n = s ? s->count : 0;
-  unsigned most = n * ROUTER_MAX_EJECTED_PERCENT / 100;
-  if (most == 0 && n >= 2)
-    most = 1;
+  unsigned max_ejected = n * ROUTER_MAX_EJECTED_PERCENT / 100;
+  if (max_ejected == 0 && n >= 2)
+    max_ejected = 1;
   if (ejected (runner, now_ms))
     return;
-  if (!s || count_ejected (s, now_ms) >= most)
+  if (!s || count_ejected (s, now_ms) >= max_ejected)
     {
       shrink_limit (r, runner, now_ms);
       return;
     }
-  if (now_ms - load->returned_ms > FORGIVE_MS)
+  if (now_ms - load->returned_ms > EJECTION_RESET_MS)
     load->ejections = 0;
   int64_t length = (int64_t)ROUTER_EJECT_BASE_MS << (load->ejections < 5 ? load->ejections : 5);
   if (length > ROUTER_EJECT_MAX_MS)
@@ -237,9 +238,9 @@
   load->samples = 0;
 }
 
-/* The adaptive limit, held down during slow start.  */
+/* The adaptive limit, capped during slow start.  */
 static unsigned
-limit_now (struct router *r, const struct runner *runner, int64_t now_ms)
+effective_limit (struct router *r, const struct runner *runner, int64_t now_ms)
 {
   unsigned share = router_share (r, runner, now_ms);
   double limit = runner->load.limit > 0.0 ? runner->load.limit : (double)share;
@@ -254,25 +255,25 @@
   return limit < (double)share ? (unsigned)limit : share;
 }
 
-/* Requests of all entries on RUNNER: ours exactly, the others' as last reported.  */
+/* Requests from all entries on RUNNER: exact for this entry, as last reported for the others.  */
 static unsigned
 estimated_load (const struct router *r, const struct runner *runner, int64_t now_ms)
 {
   const struct runner_load *load = &runner->load;
   unsigned reported = runner->info.in_flight;
-  if (now_ms - load->reported_ms > REPORT_TRUST_MS)
+  if (now_ms - load->reported_ms > REPORT_MAX_AGE_MS)
     return load->in_flight * r->config.entries;
   unsigned others = reported > load->local_at_report ? reported - load->local_at_report : 0;
   return load->in_flight + others;
 }
 
 static bool
-has_room (struct router *r, const struct runner *runner, int64_t now_ms)
+has_capacity (struct router *r, const struct runner *runner, int64_t now_ms)
 {
   const struct runner_load *load = &runner->load;
-  if (ejected (runner, now_ms) || load->in_flight >= limit_now (r, runner, now_ms))
+  if (ejected (runner, now_ms) || load->in_flight >= effective_limit (r, runner, now_ms))
     return false;
-  unsigned own = share_in_force (r, runner, runner->info.slots, now_ms);
+  unsigned own = effective_share (r, runner, runner->info.slots, now_ms);
   return load->in_flight < own || estimated_load (r, runner, now_ms) < runner->info.slots;
 }
 
@@ -282,10 +283,10 @@
   return runner->load.in_flight == 0 && now_ms - runner->load.last_probe_ms >= PROBE_INTERVAL_MS;
 }
 
-/* Load relative to the slots, in thousandths.  Requests of this entry count first, because they are
-   known exactly and each entry has an equal part of the slots.  */
+/* Load relative to the slots, in thousandths: the larger of the estimate and this entry's requests
+   times the entries, since these are exact and each entry has an equal share of the slots.  */
 static unsigned
-score (const struct router *r, const struct runner *runner, int64_t now_ms)
+load_score (const struct router *r, const struct runner *runner, int64_t now_ms)
 {
   unsigned own = runner->load.in_flight * r->config.entries;
   unsigned all = estimated_load (r, runner, now_ms);
@@ -293,16 +294,16 @@
   return load * 1000 / runner->info.slots;
 }
 
-struct choice
+struct candidates
 {
   struct runner *first;
   struct runner *second;
   unsigned seen;
 };
 
-/* Reservoir of two random candidates.  */
+/* Reservoir sampling of two candidates.  */
 static void
-offer (struct router *r, struct choice *c, struct runner *runner)
+reservoir_add (struct router *r, struct candidates *c, struct runner *runner)
 {
   c->seen++;
   if (c->seen == 1)
@@ -320,12 +321,12 @@
 }
 
 static struct runner *
-better (struct router *r, const struct choice *c, int64_t now_ms)
+less_loaded (struct router *r, const struct candidates *c, int64_t now_ms)
 {
   if (!c->second)
     return c->first;
-  unsigned a = score (r, c->first, now_ms);
-  unsigned b = score (r, c->second, now_ms);
+  unsigned a = load_score (r, c->first, now_ms);
+  unsigned b = load_score (r, c->second, now_ms);
   if (a == b)
     return rng_chance (&r->rng, 0.5) ? c->first : c->second;
   return a < b ? c->first : c->second;
@@ -345,25 +346,25 @@
 pick_least_loaded (struct router *r, const struct router_service *s, const struct runner *avoid,
                    int64_t now_ms)
 {
-  struct choice by_distance[ROUTER_FAR + 1];
+  struct candidates by_distance[ROUTER_FAR + 1];
   struct runner *slow = NULL;
   memset (by_distance, 0, sizeof by_distance);
   for (unsigned i = 0; i < s->count; i++)
     {
       struct runner *runner = s->runners[i];
-      if (runner == avoid || !runner_live (runner, now_ms) || !has_room (r, runner, now_ms))
+      if (runner == avoid || !runner_live (runner, now_ms) || !has_capacity (r, runner, now_ms))
         continue;
       if (runner->load.slow && !probe_due (runner, now_ms))
         {
           slow = runner->load.in_flight == 0 ? runner : slow;
           continue;
         }
-      offer (r, &by_distance[router_distance (r, runner->info.data_centre)], runner);
+      reservoir_add (r, &by_distance[router_distance (r, runner->info.data_centre)], runner);
     }
   refill_far_budget (r, now_ms);
   for (int d = ROUTER_LOCAL; d <= ROUTER_FAR; d++)
     if (by_distance[d].seen > 0 && (d != ROUTER_FAR || r->far_bytes > 0.0))
-      return better (r, &by_distance[d], now_ms);
+      return less_loaded (r, &by_distance[d], now_ms);
   return slow && (r->far_bytes > 0.0 || router_distance (r, slow->info.data_centre) != ROUTER_FAR)
              ? slow
              : NULL;
@@ -445,33 +446,33 @@
   grow_limit (r, runner, now_ms);
 }
 
-/* A running estimate of the median: each answer moves it one step up or down.  */
+/* Streaming estimate of the median: each answer moves it one step up or down.  */
 static void
-update_typical (double *typical, double latency_ms)
+update_median (double *median, double latency_ms)
 {
-  if (*typical <= 0.0)
-    *typical = latency_ms;
+  if (*median <= 0.0)
+    *median = latency_ms;
   else
-    *typical *= latency_ms > *typical ? 1.0 + TYPICAL_STEP : 1.0 - TYPICAL_STEP;
+    *median *= latency_ms > *median ? 1.0 + MEDIAN_STEP : 1.0 - MEDIAN_STEP;
 }
 
 /* Counts late answers instead of averaging latencies, so that a few long requests among many short
    ones do not make their runner look slow.  */
 static void
-count_latency (struct router *r, struct runner *runner, double latency_ms, bool whole,
+count_latency (struct router *r, struct runner *runner, double latency_ms, bool complete,
                int64_t now_ms)
 {
   struct router_service *s = find_service (r, runner->info.service, now_ms);
   struct runner_load *load = &runner->load;
   if (!s)
     return;
-  double *typical = &s->typical_ms[router_distance (r, runner->info.data_centre)];
-  bool late = *typical > 0.0 && latency_ms > SLOW_FACTOR * *typical
-              && latency_ms - *typical > SLOW_FLOOR_MS;
-  if (!whole && !late)
+  double *median = &s->median_ms[router_distance (r, runner->info.data_centre)];
+  bool late
+      = *median > 0.0 && latency_ms > SLOW_FACTOR * *median && latency_ms - *median > SLOW_FLOOR_MS;
+  if (!complete && !late)
     return;
-  if (whole)
-    update_typical (typical, latency_ms);
+  if (complete)
+    update_median (median, latency_ms);
   load->late_rate += LATENCY_WEIGHT * ((late ? 1.0 : 0.0) - load->late_rate);
   load->samples++;
   load->slow = load->samples >= SLOW_SAMPLES && load->late_rate > SLOW_RATE;
--- a/src/request/runner_digest.c
+++ b/src/request/runner_digest.c
@@ -16,7 +16,7 @@
     return p;
   p = xcalloc (1, sizeof *p);
   p->table = t;
-  p->prompt = true;
+  p->send_now = true;
   snprintf (p->entry, sizeof p->entry, "%s", entry);
   LIST_INIT (&p->leases);
   SLIST_INSERT_HEAD (&t->peers, p, link);
@@ -29,7 +29,7 @@
   p->acked = false;
   p->echo = 0;
   p->waiting = false;
-  p->prompt = true;
+  p->send_now = true;
 }
 
 void
@@ -68,7 +68,7 @@
   (void)t;
   if (p->waiting)
     return false;
-  return p->prompt || now_ms - p->sent_ms >= RUNNER_DIGEST_INTERVAL_MS;
+  return p->send_now || now_ms - p->sent_ms >= RUNNER_DIGEST_INTERVAL_MS;
 }
 
 static void
@@ -87,7 +87,7 @@
 }
 
 static bool
-belongs (const struct runner *r, bool full, uint64_t base)
+in_digest (const struct runner *r, bool full, uint64_t base)
 {
   if (full)
     return r->listed;
@@ -100,18 +100,18 @@
   const struct runner *r;
   unsigned n = 0;
   TAILQ_FOREACH (r, &t->runners, link)
-  if (belongs (r, full, base))
+  if (in_digest (r, full, base))
     n++;
   return n;
 }
 
-/* Live runners first: when a full digest is over the bound, the oldest departures are left out.  */
+/* Called for live runners first, so that a full digest over the maximum omits departures.  */
 static void
 fill_entries (const struct runner_table *t, struct runner_digest *out, bool departing, unsigned max)
 {
   const struct runner *r;
   TAILQ_FOREACH (r, &t->runners, link)
-  if (r->departing == departing && belongs (r, out->full, out->base_version)
+  if (r->departing == departing && in_digest (r, out->full, out->base_version)
       && out->runners.runners_len < max)
     fill_entry (r, &out->runners.runners_val[out->runners.runners_len++]);
 }
@@ -135,7 +135,7 @@
   fill_entries (t, out, false, n);
   fill_entries (t, out, true, n);
   p->waiting = true;
-  p->prompt = false;
+  p->send_now = false;
   p->sent_ms = now_ms;
 }
 
@@ -226,10 +226,10 @@
     runner_lease_drop (LIST_FIRST (&p->leases));
 }
 
-/* The digest was sent after this entry sent the clock value it echoes, so what it says was true at
-   that time or later.  A value from the future comes from an earlier boot and renews nothing.  */
+/* The digest was sent after this entry sent the clock value that it echoes, so it was valid at that
+   time or later.  A value in the future is from an earlier boot and renews nothing.  */
 static void
-renew (struct runner_table *t, struct runner_peer *p, uint64_t echo, int64_t now_ms)
+renew_leases (struct runner_table *t, struct runner_peer *p, uint64_t echo, int64_t now_ms)
 {
   if (echo == 0 || echo > (uint64_t)now_ms)
     return;
@@ -254,7 +254,7 @@
       for (unsigned i = 0; i < d->runners.runners_len; i++)
         apply_entry (t, p, &d->runners.runners_val[i], now_ms);
       p->held_version = d->table_version;
-      renew (t, p, d->echo, now_ms);
+      renew_leases (t, p, d->echo, now_ms);
     }
   reply->table_version = p->held_version;
   reply->asked = (uint64_t)now_ms;
@@ -270,12 +270,12 @@
   p->acked = true;
   p->acked_version = reply->table_version;
   if (first || reply->table_version != t->version)
-    p->prompt = true;
+    p->send_now = true;
 }
 
 void
 runner_table_digest_failed (struct runner_peer *p)
 {
   runner_peer_connected (p);
-  p->prompt = false;
+  p->send_now = false;
 }
--- a/src/request/runner_table.c
+++ b/src/request/runner_table.c
@@ -8,7 +8,7 @@
 #include "http_server.h"
 
 #define VERSION_SHIFT 20
-#define LEARNING_MS 2000
+#define LEARNING_PERIOD_MS 2000
 #define FNV_OFFSET 1469598103934665603ULL
 #define FNV_PRIME 1099511628211ULL
 
@@ -90,13 +90,13 @@
 }
 
 void
-runner_table_touch (struct runner_table *t, struct runner *r)
+runner_table_mark_changed (struct runner_table *t, struct runner *r)
 {
   t->version++;
   r->changed_version = t->version;
 }
 
-/* The router's figures describe one life of the runner, except for requests that are still open. */
+/* The router's statistics belong to one incarnation, except for requests still in flight.  */
 void
 runner_table_restart (struct runner_table *t, struct runner *r, const struct runner_info *info)
 {
@@ -120,8 +120,8 @@
   r->departing = true;
   r->departed_ms = now_ms;
   t->generation++;
-  if (r->listed) /* peers that hear only from us have to learn it too */
-    runner_table_touch (t, r);
+  if (r->listed) /* peers that learn of it only from this entry need the departure */
+    runner_table_mark_changed (t, r);
 }
 
 static bool
@@ -165,9 +165,9 @@
          && strcmp (a->data_centre, b->data_centre) == 0;
 }
 
-/* A change of in_flight enters the digests only when it is a quarter of the slots or more.  */
+/* Digests include a change of in_flight only from a quarter of the slots on.  */
 static bool
-load_moved (const struct runner *r, uint32_t in_flight)
+load_changed (const struct runner *r, uint32_t in_flight)
 {
   uint32_t step = r->info.slots / 4 > 1 ? r->info.slots / 4 : 1;
   uint32_t low = in_flight < r->digest_in_flight ? in_flight : r->digest_in_flight;
@@ -178,11 +178,11 @@
 static void
 list_runner (struct runner_table *t, struct runner *r, bool changed)
 {
-  if (r->listed && !changed && !load_moved (r, r->info.in_flight))
+  if (r->listed && !changed && !load_changed (r, r->info.in_flight))
     return;
   r->listed = true;
   r->digest_in_flight = r->info.in_flight;
-  runner_table_touch (t, r);
+  runner_table_mark_changed (t, r);
 }
 
 static int
@@ -197,7 +197,7 @@
   return 0;
 }
 
-/* Runners that count towards the bound of a full digest.  */
+/* Runners that count towards RUNNER_MAX_LISTED.  */
 static unsigned
 listed_runners (const struct runner_table *t)
 {
@@ -215,7 +215,7 @@
 {
   if (!runner_info_valid (info, st))
     return -1;
-  if (now_ms < t->stalled_until_ms || now_ms - t->tick_ms > RUNNER_STALL_MS)
+  if (now_ms < t->refuse_until_ms || now_ms - t->tick_ms > RUNNER_PAUSE_MIN_MS)
     return status_set (st, STATUS_OVERLOADED, "the process was paused; announce again");
   struct runner *r = runner_table_find (t, info->id);
   if (check_incarnation (r, info->incarnation, st) < 0)
@@ -260,7 +260,7 @@
   runner_table_set_departing (t, r, now_ms);
   struct runner_peer *p;
   SLIST_FOREACH (p, &t->peers, link)
-  p->prompt = true;
+  p->send_now = true;
   return 0;
 }
 
@@ -286,19 +286,19 @@
   return false;
 }
 
-/* Runners with no recent announcement leave the digests of this entry.  A departure stays listed
-   until its record is forgotten.  */
+/* Removes runners without a recent announcement from the digests.  A departure stays listed until
+   its record is removed.  */
 static void
 unlist_stale (struct runner_table *t, struct runner *r, int64_t now_ms)
 {
   if (!r->listed || r->departing || now_ms - r->announced_ms <= RUNNER_FRESH_MS)
     return;
   r->listed = false;
-  runner_table_touch (t, r);
+  runner_table_mark_changed (t, r);
 }
 
 static bool
-forgettable (const struct runner *r, int64_t now_ms)
+record_expired (const struct runner *r, int64_t now_ms)
 {
   if (r->references > 0 || runner_live (r, now_ms))
     return false;
@@ -312,14 +312,14 @@
 runner_table_tick (struct runner_table *t, int64_t now_ms)
 {
   struct runner *r = TAILQ_FIRST (&t->runners);
-  if (now_ms - t->tick_ms > RUNNER_STALL_MS)
-    t->stalled_until_ms = now_ms + RUNNER_STALL_REFUSAL_MS;
+  if (now_ms - t->tick_ms > RUNNER_PAUSE_MIN_MS)
+    t->refuse_until_ms = now_ms + RUNNER_PAUSE_REFUSAL_MS;
   t->tick_ms = now_ms;
   while (r)
     {
       struct runner *next = TAILQ_NEXT (r, link);
       unlist_stale (t, r, now_ms);
-      if (forgettable (r, now_ms))
+      if (record_expired (r, now_ms))
         {
           if (r->changed_version > t->oldest_delta)
             t->oldest_delta = r->changed_version;
@@ -344,7 +344,7 @@
 bool
 runner_table_learning (const struct runner_table *t, int64_t now_ms)
 {
-  return now_ms - t->started_ms < LEARNING_MS;
+  return now_ms - t->started_ms < LEARNING_PERIOD_MS;
 }
 
 void
--- a/src/request/runner_table.h
+++ b/src/request/runner_table.h
@@ -1,21 +1,21 @@
-/* runner_table: the runners this entry knows, as soft state.
+/* runner_table: the runners that this entry VM knows, as soft state.
 
-   A runner lives here while an announcement or a digest renews it.  Times are milliseconds of the
-   local monotonic clock, passed in as now_ms.
+   A runner stays live while announcements or digests renew it.  Times are milliseconds of the local
+   monotonic clock, passed in as now_ms.
 
    Lifetimes.  An announcement renews a runner at the entry that received it for RUNNER_LIFETIME_MS.
    That entry lists the runner in its digests only while the announcement is at most
-   RUNNER_FRESH_MS old, and a receiver counts RUNNER_DIGEST_LIFETIME_MS from the receiver time that
-   the digest echoes.  The two add up to RUNNER_LIFETIME_MS, so a runner that told any one entry of
-   its departure gets nothing new after 2 s at any entry, whatever is cut off or delayed.
+   RUNNER_FRESH_MS old, and a receiver keeps it for RUNNER_DIGEST_LIFETIME_MS from the receiver time
+   that the digest echoes.  The two add up to RUNNER_LIFETIME_MS, so 2 s after a runner reported its
+   departure to any entry, no entry sends it new requests, under any partition or delay.
 
-   Digests.  One version number stands for all runners that announced to one entry.  An unchanged
-   version renews all of them; a delta carries what changed since base_version; a mismatch asks for
-   the full table.  An entry with slots 0 says that the sender no longer vouches for the runner; an
-   entry with departing set is a departure, which holds at every entry.
+   Digests.  One version number covers all runners that announced to one entry.  An unchanged
+   version renews all of them; a delta has the changes since base_version; a mismatch leads to the
+   full table.  A runner_entry with slots 0 means that the sender no longer lists the runner; one
+   with departing set is a departure, which applies at every entry.
 
-   Incarnations.  A runner's incarnation grows with every start.  An earlier one never replaces a
-   later one, and a departed one never comes back; departures are remembered for
+   Incarnations.  A runner's incarnation increases with every start.  An earlier one never replaces
+   a later one, and a departed one never returns; tombstones of departures are kept for
    RUNNER_TOMBSTONE_MS.
 
    Source: design page sections 3, 6 and 8.  */
@@ -37,13 +37,13 @@
 #define RUNNER_DIGEST_INTERVAL_MS 500
 #define RUNNER_TOMBSTONE_MS 60000
 #define RUNNER_MAX_LISTED                                                                          \
-  768 /* runners that may announce to one entry; leaves room for departures */
+  768 /* runners that may announce to one entry; leaves space for departures */
 #define RUNNER_MAX_SLOTS 4096
-#define RUNNER_STALL_MS 1000 /* a gap between two ticks that shows that the process was paused */
-#define RUNNER_STALL_REFUSAL_MS                                                                    \
-  100 /* announcements that waited out the pause are refused so long */
+#define RUNNER_PAUSE_MIN_MS 1000 /* gap between two ticks that counts as a pause of the process */
+#define RUNNER_PAUSE_REFUSAL_MS                                                                    \
+  100 /* announcements queued during the pause are refused this long */
 
-/* What a runner says about itself.  */
+/* What a runner announces.  */
 struct runner_info
 {
   char id[RUNNER_NAME_BYTES];
@@ -51,42 +51,42 @@
   char data_centre[RUNNER_NAME_BYTES];
   char address[RUNNER_NAME_BYTES]; /* ip:port */
   uint64_t incarnation;
-  uint32_t slots;       /* requests served at once */
-  uint32_t connections; /* connections it takes from all entries together */
-  uint32_t in_flight;   /* requests from all entries, as the runner last counted */
+  uint32_t slots;       /* concurrent requests */
+  uint32_t connections; /* maximum connections from all entries */
+  uint32_t in_flight;   /* requests from all entries, as last reported */
 };
 
 /* The router's view of one runner; reset when the incarnation changes.  */
 struct runner_load
 {
   unsigned in_flight;       /* requests of this entry */
-  int64_t reported_ms;      /* when info.in_flight was learned */
+  int64_t reported_ms;      /* when info.in_flight was received */
   unsigned local_at_report; /* in_flight of this entry at that time */
   double limit;             /* adaptive limit on in_flight */
-  double late_rate;         /* moving average of answers much later than typical, 0 to 1 */
-  unsigned samples;         /* answers and failures in the averages */
+  double late_rate;         /* moving average of the share of late answers, 0 to 1 */
+  unsigned samples;         /* answers and failures counted in the averages */
   unsigned failures_in_row; /* consecutive failures */
   double failure_rate;      /* moving average of failures, 0 to 1 */
-  unsigned ejections;       /* times ejected since it last worked for a while */
+  unsigned ejections;       /* recent ejections, doubles their duration */
   int64_t ejected_until_ms; /* 0 when it is not ejected */
   int64_t returned_ms;      /* when slow start began, 0 when it is over */
-  int64_t last_probe_ms;    /* last request sent although it is slow */
-  bool slow;                /* most answers are much later than typical for its service */
+  int64_t last_probe_ms;    /* last probe of a slow runner */
+  bool slow;                /* most answers are late */
 };
 
-struct runner_lease; /* one peer entry that vouches for one runner */
+struct runner_lease; /* one peer that lists one runner */
 
 struct runner
 {
   struct runner_info info;
   struct runner_load load;
   bool departing;
-  int64_t departed_ms;       /* when the departure was learned */
+  int64_t departed_ms;       /* when the departure was received */
   int64_t announced_ms;      /* last direct announcement, 0 when there was none */
-  bool listed;               /* part of the digests of this entry */
+  bool listed;               /* included in the digests of this entry */
   uint64_t changed_version;  /* version of this entry's table that last changed it */
   uint32_t digest_in_flight; /* in_flight as last put in a digest */
-  unsigned references;       /* requests that point here */
+  unsigned references;       /* requests that refer to it */
   LIST_HEAD (, runner_lease) leases;
   LIST_ENTRY (runner) bucket_link;
   TAILQ_ENTRY (runner) link;
@@ -95,7 +95,7 @@
 TAILQ_HEAD (runner_list, runner);
 
 struct runner_table;
-struct runner_peer; /* another entry: what it holds of ours and what we hold of its table */
+struct runner_peer; /* another entry VM and the digest state in both directions */
 
 struct runner_table *runner_table_open (
     uint64_t incarnation,
@@ -105,35 +105,35 @@
 int runner_table_announce (struct runner_table *t, const struct runner_info *info, int64_t now_ms,
                            struct status *st); /* Renews a runner; -1 and STALE_INCARNATION. */
 int runner_table_depart (struct runner_table *t, const char *id, uint64_t incarnation,
-                         int64_t now_ms, struct status *st); /* Takes a runner out for good. */
+                         int64_t now_ms, struct status *st); /* Ends an incarnation permanently. */
 void runner_table_report (struct runner *r, uint32_t in_flight,
-                          int64_t now_ms); /* Load seen in an answer of the runner. */
+                          int64_t now_ms); /* Load reported by the runner. */
 void runner_table_tick (struct runner_table *t,
-                        int64_t now_ms); /* Forgets the expired; call every 100 ms. */
+                        int64_t now_ms); /* Removes expired records; call every 100 ms. */
 
-bool runner_live (const struct runner *r, int64_t now_ms); /* May get new requests. */
+bool runner_live (const struct runner *r, int64_t now_ms); /* Whether it may get new requests. */
 struct runner *runner_table_find (const struct runner_table *t, const char *id); /* Or NULL. */
 const struct runner_list *runner_table_list (const struct runner_table *t);      /* All records. */
 uint64_t runner_table_generation (
-    const struct runner_table *t); /* Changes whenever a runner may have joined or left. */
+    const struct runner_table *t); /* Changes whenever the live runners may have changed. */
 bool runner_table_learning (const struct runner_table *t,
-                            int64_t now_ms); /* Started so recently that runners may be unknown. */
-void runner_hold (struct runner *r);         /* Keeps the record while a request points to it. */
-void runner_release (struct runner *r);      /* Undoes runner_hold. */
+                            int64_t now_ms); /* Started under 2 s ago: runners may be missing. */
+void runner_hold (struct runner *r);         /* Takes a reference for a request. */
+void runner_release (struct runner *r);      /* Releases the reference. */
 
 struct runner_peer *runner_table_peer (struct runner_table *t,
                                        const char *entry); /* Finds or adds a peer entry. */
-void runner_peer_connected (struct runner_peer *p); /* New connection to it: send digests afresh. */
+void runner_peer_connected (struct runner_peer *p);        /* New connection: restarts digests. */
 bool runner_table_digest_due (const struct runner_table *t, const struct runner_peer *p,
-                              int64_t now_ms); /* Time to send P a digest. */
+                              int64_t now_ms); /* Whether to send P a digest now. */
 void runner_table_make_digest (struct runner_table *t, struct runner_peer *p, int64_t now_ms,
                                struct runner_digest *out); /* Free with runner_digest_free. */
 void runner_digest_free (struct runner_digest *d);         /* Frees what make_digest filled. */
 void runner_table_handle_digest (struct runner_table *t, struct runner_peer *p,
                                  const struct runner_digest *d, int64_t now_ms,
-                                 struct runner_digest_reply *reply); /* A digest from P. */
+                                 struct runner_digest_reply *reply); /* Applies a digest from P. */
 void runner_table_handle_reply (struct runner_table *t, struct runner_peer *p,
-                                const struct runner_digest_reply *reply); /* P's reply to ours. */
+                                const struct runner_digest_reply *reply); /* Applies P's reply. */
 void runner_table_digest_failed (struct runner_peer *p); /* The digest got no reply. */
 
 #endif
--- a/src/request/runner_table_internal.h
+++ b/src/request/runner_table_internal.h
@@ -8,7 +8,7 @@
 #define RUNNER_HASH_BUCKETS 1024
 #define RUNNER_MAX_RECORDS 65536
 
-/* One peer entry vouches for one runner as long as its digests come.  */
+/* One peer lists one runner; expires with the peer's digests.  */
 struct runner_lease
 {
   struct runner *runner;
@@ -21,13 +21,13 @@
 {
   struct runner_table *table;
   char entry[RUNNER_NAME_BYTES];
-  uint64_t held_version;  /* version of its table that we hold */
+  uint64_t held_version;  /* last applied version of the peer's table */
   int64_t expires_ms;     /* of all its leases */
-  uint64_t acked_version; /* version of our table that it holds */
+  uint64_t acked_version; /* last version of our table that the peer acknowledged */
   bool acked;             /* acked_version is known */
-  uint64_t echo;          /* asked of its last reply, 0 when unknown */
-  bool waiting;           /* a digest to it has no reply yet */
-  bool prompt;            /* send the next digest without waiting for the interval */
+  uint64_t echo;          /* "asked" of its last reply, 0 when unknown */
+  bool waiting;           /* a digest to it is awaiting its reply */
+  bool send_now;          /* send the next digest without waiting for the interval */
   int64_t sent_ms;
   LIST_HEAD (, runner_lease) leases;
   SLIST_ENTRY (runner_peer) link;
@@ -39,23 +39,23 @@
   LIST_HEAD (, runner) buckets[RUNNER_HASH_BUCKETS];
   SLIST_HEAD (, runner_peer) peers;
   unsigned count;
-  uint64_t version;      /* of what this entry lists in its digests */
-  uint64_t oldest_delta; /* deltas can start at this version or later */
+  uint64_t version;      /* of the runners in this entry's digests */
+  uint64_t oldest_delta; /* lowest base version of a delta */
   uint64_t generation;
   int64_t started_ms;
   int64_t tick_ms;
-  int64_t stalled_until_ms; /* announcements are refused until then */
+  int64_t refuse_until_ms; /* announcements are refused until then */
 };
 
 struct runner *runner_table_add (struct runner_table *t,
-                                 const char *id); /* Finds or makes the record; NULL when full. */
+                                 const char *id); /* Finds or adds a record; NULL when full. */
 void runner_table_restart (struct runner_table *t, struct runner *r,
-                           const struct runner_info *info); /* Takes over a later incarnation. */
-void runner_table_touch (struct runner_table *t,
-                         struct runner *r); /* R changes in the digests of this entry. */
+                           const struct runner_info *info); /* Replaces R by a later incarnation. */
+void runner_table_mark_changed (struct runner_table *t,
+                                struct runner *r); /* Adds R to the next deltas. */
 void runner_table_set_departing (struct runner_table *t, struct runner *r,
-                                 int64_t now_ms);    /* Marks R for good. */
-void runner_lease_drop (struct runner_lease *lease); /* The peer vouches no longer. */
+                                 int64_t now_ms);    /* Marks R as departed permanently. */
+void runner_lease_drop (struct runner_lease *lease); /* The peer no longer lists the runner. */
 bool runner_info_valid (const struct runner_info *info,
                         struct status *st); /* Names, address and numbers are in range. */
 
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -1,5 +1,5 @@
-/* Guards against overloading a runner or its connections, against sending to failing, slow or
-   departed runners while others have room, and against ejecting so many that none is left.  */
+/* Guards against overloading a runner or its connections, against routing to failing, slow or
+   departed runners while others have capacity, and against ejecting too many runners.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -13,14 +13,14 @@
 
 #define NOW 1000000
 
-struct rig
+struct fixture
 {
   struct runner_table *table;
   struct router router;
 };
 
 static void
-open_rig (struct rig *g, unsigned entries)
+open_fixture (struct fixture *g, unsigned entries)
 {
   struct router_config config = { .data_centre = "dc1",
                                   .near = { "dc2" },
@@ -33,14 +33,14 @@
 }
 
 static void
-close_rig (struct rig *g)
+close_fixture (struct fixture *g)
 {
   router_close (&g->router);
   runner_table_close (g->table);
 }
 
 static void
-announce (struct rig *g, int number, const char *centre, int64_t now)
+announce (struct fixture *g, int number, const char *centre, int64_t now)
 {
   struct runner_info i = {
     .service = "pricing", .address = "127.0.0.1:80", .incarnation = 1, .slots = 8, .connections = 64
@@ -52,7 +52,7 @@
 }
 
 static struct runner *
-runner (const struct rig *g, int number)
+runner (const struct fixture *g, int number)
 {
   char id[8];
   snprintf (id, sizeof id, "r%d", number);
@@ -60,7 +60,7 @@
 }
 
 static struct runner *
-pick (struct rig *g, int64_t now)
+pick (struct fixture *g, int64_t now)
 {
   struct runner *r = router_pick (&g->router, "pricing", NULL, now);
   if (r)
@@ -72,8 +72,8 @@
 test_shares_never_exceed_the_connections (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, 1);
+  struct fixture g;
+  open_fixture (&g, 1);
   announce (&g, 1, "dc1", NOW);
   for (unsigned entries = 1; entries <= 200; entries++)
     {
@@ -94,15 +94,15 @@
   assert_int_equal (router_share (&g.router, runner (&g, 1), NOW + 5000), 16);
   router_set_entries (&g.router, 8, 0, NOW + 6000);
   assert_int_equal (router_share (&g.router, runner (&g, 1), NOW + 6000), 8);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
 test_fills_slots_local_first (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, 1);
+  struct fixture g;
+  open_fixture (&g, 1);
   announce (&g, 1, "dc1", NOW);
   announce (&g, 2, "dc2", NOW);
   announce (&g, 3, "dc9", NOW);
@@ -122,33 +122,33 @@
   announce (&g, 3, "dc9", NOW + 3500);
   announce (&g, 3, "dc9", NOW + 4500);
   assert_ptr_equal (pick (&g, NOW + 4500), runner (&g, 3));
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
 test_counts_what_other_entries_send (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, 8);
+  struct fixture g;
+  open_fixture (&g, 8);
   announce (&g, 1, "dc1", NOW);
-  runner_table_report (runner (&g, 1), 8, NOW);      /* full, by others */
-  assert_ptr_equal (pick (&g, NOW), runner (&g, 1)); /* our equal part of the slots */
+  runner_table_report (runner (&g, 1), 8, NOW);      /* full with requests of other entries */
+  assert_ptr_equal (pick (&g, NOW), runner (&g, 1)); /* within our equal share of the slots */
   assert_null (pick (&g, NOW));
-  runner_table_report (runner (&g, 1), 1, NOW); /* only ours is left */
+  runner_table_report (runner (&g, 1), 1, NOW); /* only our own request */
   for (int i = 0; i < 7; i++)
     assert_ptr_equal (pick (&g, NOW), runner (&g, 1));
   assert_null (pick (&g, NOW));
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
 test_ejects_failing_runners_up_to_the_cap (void **state)
 {
   (void)state;
-  struct rig g;
+  struct fixture g;
   unsigned out = 0;
-  open_rig (&g, 1);
+  open_fixture (&g, 1);
   for (int i = 0; i < 10; i++)
     announce (&g, i, "dc1", NOW);
   for (int i = 0; i < 10; i++)
@@ -163,15 +163,15 @@
   struct runner *r = pick (&g, NOW);
   assert_non_null (r);
   assert_int_equal (r->load.ejected_until_ms, 0);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 static void
 test_returning_runner_starts_slowly (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, 1);
+  struct fixture g;
+  open_fixture (&g, 1);
   announce (&g, 1, "dc1", NOW);
   announce (&g, 2, "dc1", NOW);
   router_start (&g.router, runner (&g, 1), 0, NOW);
@@ -180,17 +180,17 @@
   assert_null (pick (&g, NOW + 999));
   announce (&g, 1, "dc1", NOW + 1000);
   assert_ptr_equal (pick (&g, NOW + 1000), runner (&g, 1));
-  assert_null (pick (&g, NOW + 1000)); /* one at a time at first */
-  close_rig (&g);
+  assert_null (pick (&g, NOW + 1000)); /* slow start: one at a time */
+  close_fixture (&g);
 }
 
-/* Errors of the application are no sign of overload: one runner alone keeps its slots.  */
+/* Application errors do not indicate overload: a single runner keeps its slots.  */
 static void
 test_errors_do_not_shrink_the_limit (void **state)
 {
   (void)state;
-  struct rig g;
-  open_rig (&g, 1);
+  struct fixture g;
+  open_fixture (&g, 1);
   announce (&g, 1, "dc1", NOW);
   for (int i = 0; i < 40; i++)
     {
@@ -201,20 +201,20 @@
     assert_non_null (pick (&g, NOW));
   for (int i = 0; i < 8; i++)
     router_finish (&g.router, runner (&g, 1), ROUTER_REFUSED, 0.0, 0, NOW);
-  int room = 0;
+  int picked = 0;
   while (pick (&g, NOW))
-    room++;
-  assert_in_range (room, 1, 7); /* but refusals are */
-  close_rig (&g);
+    picked++;
+  assert_in_range (picked, 1, 7); /* refusals do shrink it */
+  close_fixture (&g);
 }
 
 static void
 test_slow_runner_gets_probes_only (void **state)
 {
   (void)state;
-  struct rig g;
+  struct fixture g;
   unsigned to_slow = 0;
-  open_rig (&g, 1);
+  open_fixture (&g, 1);
   for (int i = 0; i < 10; i++)
     announce (&g, i, "dc1", NOW);
   for (int n = 0; n < 2000; n++)
@@ -230,7 +230,7 @@
       router_finish (&g.router, r, ROUTER_OK, slow ? 500.0 : 10.0, 100, now);
     }
   assert_true (to_slow <= 2);
-  close_rig (&g);
+  close_fixture (&g);
 }
 
 int
--- a/tests/test_runner_table.c
+++ b/tests/test_runner_table.c
@@ -1,6 +1,6 @@
-/* Guards against requests sent to a runner after it departed, died or was replaced, at the entry it
-   told and at every other, also when digests are delayed, repeated, reordered or lost; and against
-   an entry that does not learn the runners after a restart.  */
+/* Guards against requests sent to a runner after it departed, died or was replaced, at the entry
+   it notified and at every other, also when digests are delayed, repeated, reordered or lost; and
+   against an entry that does not learn the runners after a restart.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -105,8 +105,8 @@
   runner_table_close (t);
 }
 
-/* Announcements that lay in the socket while the process was paused may come from a runner that has
-   departed since.  */
+/* Announcements queued in the socket while the process was paused may be from a runner that has
+   since departed.  */
 static void
 test_paused_process_refuses_old_announcements (void **state)
 {
@@ -141,7 +141,7 @@
       announce (a, "r1", 1, now);
       announce (a, "r2", 1, now);
       runner_table_make_digest (a, runner_table_peer (a, "b"), now, &d);
-      assert_int_equal (d.runners.runners_len, 0); /* unchanged: the version renews all */
+      assert_int_equal (d.runners.runners_len, 0); /* unchanged: the version alone renews all */
       runner_digest_free (&d);
       exchange (a, b, now);
       assert_true (live (b, "r1", now) && live (b, "r2", now));
@@ -155,8 +155,8 @@
   runner_table_close (b);
 }
 
-/* The receiver restarts: it learns all runners with two digests.  The sender restarts: its lower
-   knowledge does not renew what it no longer knows.  */
+/* A restarted receiver learns all runners from two digests.  A restarted sender does not renew
+   runners that it no longer knows.  */
 static void
 test_restarts (void **state)
 {
@@ -181,7 +181,7 @@
   runner_table_close (b);
 }
 
-/* ---- random model: any delay, loss and cut, and still nothing goes to a departed runner ---- */
+/* ---- random model: under delays, losses and partitions no departed runner gets requests ---- */
 
 struct message
 {
@@ -198,11 +198,11 @@
 {
   struct rng rng;
   struct runner_table *entries[MODEL_ENTRIES];
-  bool cut[MODEL_ENTRIES][MODEL_ENTRIES];
+  bool partitioned[MODEL_ENTRIES][MODEL_ENTRIES];
   struct message queue[MODEL_QUEUE];
   uint64_t incarnation[MODEL_RUNNERS];
   int home[MODEL_RUNNERS];
-  int64_t departed_ms[MODEL_RUNNERS]; /* of the latest incarnation, 0 while it serves */
+  int64_t departed_ms[MODEL_RUNNERS]; /* of the latest incarnation, 0 while it is running */
   int64_t next_ms[MODEL_RUNNERS];
   uint64_t starts;
 };
@@ -246,7 +246,7 @@
 deliver (struct model *m, struct message *x, int64_t now)
 {
   struct runner_digest_reply reply;
-  if (m->cut[x->from][x->to])
+  if (m->partitioned[x->from][x->to])
     {
       if (x->is_reply)
         runner_table_digest_failed (peer_of (m, x->to, x->from));
@@ -341,7 +341,7 @@
     {
       now += MODEL_STEP_MS;
       if (rng_chance (&m.rng, 0.01))
-        m.cut[rng_below (&m.rng, MODEL_ENTRIES)][rng_below (&m.rng, MODEL_ENTRIES)]
+        m.partitioned[rng_below (&m.rng, MODEL_ENTRIES)][rng_below (&m.rng, MODEL_ENTRIES)]
             = rng_chance (&m.rng, 0.5);
       if (rng_chance (&m.rng, 0.002))
         {
