--- a/src/request/intent_log.c
+++ b/src/request/intent_log.c
@@ -13,7 +13,7 @@
 
 #define KEY_TEXT_BYTES (CELL_NAME_BYTES + 1)
 #define LENGTH_BYTES 4
-#define MAX_PROPOSALS 3 /* of one begin or finish */
+#define MAX_PROPOSALS 3 /* proposals of one begin or finish */
 
 struct intent_attempt
 {
@@ -23,13 +23,13 @@
   char key[KEY_TEXT_BYTES];
   uint64_t home; /* cell */
   uint64_t number;
-  unsigned proposals; /* of the begin or finish in hand */
+  unsigned proposals; /* of the current begin or finish */
   struct buffer entry;
   intent_begin_fn *begun;
   intent_finish_fn *finished;
   void *arg;
-  int64_t begun_ms; /* first proposal of the begin */
-  int64_t retry_ms; /* next one while it waits */
+  int64_t begun_ms; /* when begin was first proposed */
+  int64_t retry_ms; /* next proposal while waiting */
   bool waiting;
   TAILQ_ENTRY (intent_attempt) link; /* in waiting */
 };
@@ -38,7 +38,7 @@
     = { .name = "sassafras_intents_unavailable_total",
         .help = "Unrepeatable requests refused because their home cell was not reachable." };
 
-/* Keys longer than a cell's names are recorded by their 128-bit hash.  */
+/* Keys of CELL_NAME_BYTES or more are recorded as their 128-bit hash.  */
 static void
 key_text (const char *key, char out[KEY_TEXT_BYTES])
 {
@@ -93,7 +93,7 @@
   free (a);
 }
 
-/* The attempt that got INTENT_NEW for this key; other begins for it have ended already.  */
+/* The attempt that got INTENT_NEW for this key, without attempts whose begin is pending.  */
 static struct intent_attempt *
 find_attempt (struct intent_log *l, const char *customer, const char *key)
 {
@@ -107,7 +107,7 @@
   return NULL;
 }
 
-/* Splits a recorded answer; a malformed one counts as too large to give again.  */
+/* Splits a recorded answer; a malformed one is treated as too large to replay.  */
 static void
 unpack_answer (const cell_result *r, struct intent_outcome *out)
 {
@@ -144,7 +144,7 @@
     buffer_append (out, o->body, o->body_len);
 }
 
-/* Translates the cell's answer to a begin.  */
+/* Maps the cell's result of a begin to an intent_state.  */
 static enum intent_state
 begun_state (const cell_result *r, struct intent_outcome *outcome)
 {
@@ -166,9 +166,9 @@
     }
 }
 
-/* True when the begin waits for the end of an earlier attempt and will be proposed again.  */
+/* True when the begin waits for an earlier attempt to end and will be proposed again.  */
 static bool
-wait_for_earlier (struct intent_attempt *a)
+wait_for_earlier_attempt (struct intent_attempt *a)
 {
   if (a->log->now_ms - a->begun_ms >= INTENT_WAIT_MS)
     return false;
@@ -183,7 +183,7 @@
 {
   struct intent_outcome outcome = { 0 };
   enum intent_state state = begun_state (r, &outcome);
-  if (state == INTENT_IN_PROGRESS && wait_for_earlier (a))
+  if (state == INTENT_IN_PROGRESS && wait_for_earlier_attempt (a))
     return;
   intent_begin_fn *begun = a->begun;
   void *arg = a->arg;
@@ -195,8 +195,8 @@
   begun (arg, state, state == INTENT_DONE ? &outcome : NULL);
 }
 
-/* When the outcome stays unknown, the intent may be recorded as in progress.  "Unavailable" is
-   still right for the caller, because nothing ran.  */
+/* When the outcome stays unknown, the intent may be recorded as in progress.  INTENT_UNAVAILABLE is
+   still correct for the caller, because nothing ran.  */
 static void
 on_begun (void *arg, const struct status *st, const void *result, size_t len)
 {
@@ -230,8 +230,8 @@
   propose (a, on_begun);
 }
 
-/* A finish that did not get through is proposed again: until it is recorded, repeats of the request
-   are told that the outcome is unknown.  */
+/* A failed finish is proposed again: until it is recorded, repeats of the request get an unknown
+   outcome.  */
 static void
 on_finished (void *arg, const struct status *st, const void *result, size_t len)
 {
--- a/src/request/intent_log.h
+++ b/src/request/intent_log.h
@@ -1,16 +1,16 @@
 /* intent_log: struct intent_store over the replicated log of the request's home cell.
 
    An answer is recorded as one byte string: four bytes of header length (network order), the
-   headers, one byte that tells whether a body follows, the body.  An answer too large to record is
-   kept as its code alone, and a repeat is told that the outcome can't be given again.
+   headers, one byte that tells whether a body follows, the body.  For an answer too large to record
+   only the status code is kept, and a repeat gets an error that its body was not stored.
 
-   Every begin draws an attempt number.  A begin whose outcome is unknown is proposed again under
-   the same number, which the cell takes as the same begin; a finish is recorded only for the
-   attempt that may run the request, so that a late one never ends a later attempt.
+   Every begin has a random attempt number.  A begin with unknown outcome is proposed again with the
+   same number, which the cell treats as a duplicate; a finish is recorded only for the attempt that
+   may run the request, so that a late finish never ends a later attempt.
 
    A caller may repeat a request before the finish of the first is committed.  A begin that meets
    such an intent is therefore proposed again every INTENT_REPEAT_MS, up to INTENT_WAIT_MS, before
-   it is told that the request is in progress.  */
+   INTENT_IN_PROGRESS is returned.  */
 
 #ifndef SASSAFRAS_INTENT_LOG_H
 #define SASSAFRAS_INTENT_LOG_H
@@ -42,8 +42,9 @@
 
 void intent_log_init (struct intent_log *l, struct proposer *proposer,
                       const struct registry *registry,
-                      struct rng *rng);                      /* RNG draws attempt numbers. */
-void intent_log_tick (struct intent_log *l, int64_t now_ms); /* Proposes what is due. */
-void intent_log_close (struct intent_log *l); /* Frees what is kept of running requests. */
+                      struct rng *rng); /* RNG generates attempt numbers. */
+void intent_log_tick (struct intent_log *l,
+                      int64_t now_ms);        /* Proposes waiting begins that are due. */
+void intent_log_close (struct intent_log *l); /* Frees all attempts. */
 
 #endif
--- a/src/request/intent_memory.c
+++ b/src/request/intent_memory.c
@@ -26,7 +26,7 @@
 };
 
 static struct intent *
-find (struct intent_memory *m, const struct intent_key *key)
+find_intent (struct intent_memory *m, const struct intent_key *key)
 {
   struct intent *i;
   LIST_FOREACH (i, &m->intents, link)
@@ -36,7 +36,7 @@
 }
 
 static void
-drop (struct intent *i)
+remove_intent (struct intent *i)
 {
   LIST_REMOVE (i, link);
   buffer_close (&i->headers);
@@ -51,7 +51,7 @@
               void *arg)
 {
   struct intent_memory *m = (struct intent_memory *)s;
-  struct intent *i = find (m, key);
+  struct intent *i = find_intent (m, key);
   if (!m->available)
     done (arg, INTENT_UNAVAILABLE, NULL);
   else if (i && i->fingerprint != key->fingerprint)
@@ -87,14 +87,14 @@
                const struct intent_outcome *outcome, intent_finish_fn *done, void *arg)
 {
   struct intent_memory *m = (struct intent_memory *)s;
-  struct intent *i = find (m, key);
+  struct intent *i = find_intent (m, key);
   if (!m->available || !i)
     {
       done (arg, -1);
       return;
     }
   if (outcome->result == INTENT_NOT_RUN)
-    drop (i);
+    remove_intent (i);
   else
     store_outcome (i, outcome);
   done (arg, 0);
@@ -119,7 +119,7 @@
   if (!m)
     return;
   while (!LIST_EMPTY (&m->intents))
-    drop (LIST_FIRST (&m->intents));
+    remove_intent (LIST_FIRST (&m->intents));
   free (m);
 }
 
--- a/src/request/intent_store.h
+++ b/src/request/intent_store.h
@@ -1,12 +1,12 @@
 /* intent_store: records that an unrepeatable request with an Idempotency-Key is about to run.
 
-   begin records the intent before any byte is sent to a runner; finish records how it ended.  The
+   begin records the intent before any byte is sent to a runner; finish records the outcome.  The
    daemon implements the interface over the replicated log of the customer's home cell;
-   intent_memory is a private one for tests.
+   intent_memory keeps it in memory for tests.
 
-   Callbacks run once per call, at once or later.  Strings are valid only during the call.  After
-   begin answered INTENT_NEW, finish is called exactly once, unless the process dies: then the
-   intent stays in progress, and a repeat is told so instead of running again.  */
+   Each callback runs once, during the call or later.  Strings are valid only during the call.
+   After begin reported INTENT_NEW, finish is called exactly once, unless the process dies: then the
+   intent stays in progress, and a repeat gets INTENT_IN_PROGRESS instead of running again.  */
 
 #ifndef SASSAFRAS_INTENT_STORE_H
 #define SASSAFRAS_INTENT_STORE_H
@@ -15,22 +15,22 @@
 #include <stdint.h>
 
 #define INTENT_ANSWER_BYTES 65536 /* of headers and body stored with an outcome */
-#define INTENT_KEY_BYTES 255      /* longest Idempotency-Key */
+#define INTENT_KEY_BYTES 255      /* maximum length of an Idempotency-Key */
 
 enum intent_state
 {
-  INTENT_NEW,         /* recorded now: the request may be sent */
+  INTENT_NEW,         /* newly recorded: the request may be sent */
   INTENT_IN_PROGRESS, /* recorded before, not finished */
-  INTENT_DONE,        /* finished before; the outcome is given */
-  INTENT_KEY_REUSED,  /* the key stands for a different request */
+  INTENT_DONE,        /* finished before; outcome is set */
+  INTENT_KEY_REUSED,  /* the key was used for a different request */
   INTENT_UNAVAILABLE, /* the home cell cannot be reached; nothing was recorded */
 };
 
 enum intent_result
 {
-  INTENT_ANSWERED, /* the runner gave a whole answer */
-  INTENT_UNKNOWN,  /* sent, but no whole answer came */
-  INTENT_NOT_RUN,  /* did not run: the key is free again */
+  INTENT_ANSWERED, /* the runner sent a complete answer */
+  INTENT_UNKNOWN,  /* sent, but no complete answer was received */
+  INTENT_NOT_RUN,  /* did not run: the key may be used again */
 };
 
 struct intent_key
@@ -40,7 +40,7 @@
   uint64_t fingerprint; /* of method, service, path and the body's length or its first bytes */
 };
 
-/* How a request ended.  */
+/* Recorded end of a request.  */
 struct intent_outcome
 {
   enum intent_result result;
