--- a/src/request/proxy.c
+++ b/src/request/proxy.c
@@ -10,8 +10,8 @@
 #include "log.h"
 
 #define MAX_REQUESTS 1200     /* with buffers of up to 192 KiB each, under 256 MB in all */
-#define TICK_S 0.02           /* queues are looked at this often at least */
-#define RUNNER_CONNECTIONS 64 /* that a runner takes from all entries */
+#define TICK_S 0.02           /* interval of the periodic queue check */
+#define RUNNER_CONNECTIONS 64 /* per runner, shared by all entry VMs */
 
 static struct counter requests_total
     = { .name = "sassafras_proxy_requests_total", .help = "Requests of callers." };
@@ -19,8 +19,8 @@
     = { .name = "sassafras_proxy_tries_total", .help = "Requests sent to runners." };
 static struct counter retries_total
     = { .name = "sassafras_proxy_retries_total", .help = "Tries after a failed one." };
-static struct counter hedges_total
-    = { .name = "sassafras_proxy_hedges_total", .help = "Second tries beside a slow one." };
+static struct counter hedges_total = { .name = "sassafras_proxy_hedges_total",
+                                       .help = "Second tries started while the first is slow." };
 static struct counter refused_total
     = { .name = "sassafras_proxy_refused_total", .help = "Requests answered as not run." };
 static struct counter broken_total
@@ -57,22 +57,22 @@
 }
 
 void
-proxy_want_pump (struct proxy *p)
+proxy_schedule_dispatch (struct proxy *p)
 {
   if (p->closing)
     return;
-  p->pump_wanted = true;
+  p->dispatch_scheduled = true;
   start_deferred (p);
 }
 
 static void
-pump_all (struct proxy *p)
+dispatch_all (struct proxy *p)
 {
   struct proxy_service *s;
-  p->pump_wanted = false;
+  p->dispatch_scheduled = false;
   SLIST_FOREACH (s, &p->services, link)
   if (admission_queued (s->admission) > 0)
-    service_pump (s);
+    service_dispatch (s);
 }
 
 static void
@@ -89,8 +89,8 @@
       call_step (call);
       call_free_when_done (call);
     }
-  if (p->pump_wanted)
-    pump_all (p);
+  if (p->dispatch_scheduled)
+    dispatch_all (p);
 }
 
 static void
@@ -100,7 +100,7 @@
   struct proxy_call *call;
   (void)loop;
   (void)events;
-  pump_all (p);
+  dispatch_all (p);
   LIST_FOREACH (call, &p->calls, link)
   caller_watch (call);
   counter_set (&requests_total, (int64_t)p->stats.requests);
@@ -175,8 +175,8 @@
   ev_timer_stop (p->loop, &p->tick);
   ev_timer_stop (p->loop, &p->deferred_timer);
   http_client_close (p->client);
-  while (p->spares > 0)
-    curl_easy_cleanup (p->spare[--p->spares]);
+  while (p->idle_easy_count > 0)
+    curl_easy_cleanup (p->idle_easy[--p->idle_easy_count]);
   service_free_all (p);
   free (p->sockets);
   free (p);
@@ -192,12 +192,12 @@
 void
 proxy_wake (struct proxy *p)
 {
-  proxy_want_pump (p);
+  proxy_schedule_dispatch (p);
 }
 
-/* Connections that the kernel has already accepted for us belong to the requests in flight.  */
+/* Connections already in the listen backlog are still served during a drain.  */
 static void
-take_backlog (struct proxy *p, MHD_socket listener)
+accept_backlog (struct proxy *p, MHD_socket listener)
 {
   struct sockaddr_storage address;
   socklen_t len = sizeof address;
@@ -235,11 +235,11 @@
             p->stats.connections);
   MHD_socket listener = MHD_quiesce_daemon (p->daemon);
   if (listener != MHD_INVALID_SOCKET)
-    take_backlog (p, listener);
+    accept_backlog (p, listener);
   LIST_FOREACH (c, &p->connections, link)
   if (!c->busy)
     {
-      c->shut = true;
+      c->receive_closed = true;
       shutdown (c->fd, SHUT_RD);
     }
   http_loop_kick (p->http_loop);
--- a/src/request/proxy_call.c
+++ b/src/request/proxy_call.c
@@ -1,4 +1,4 @@
-/* What happens to one request: tries, retries, hedges, timeouts and its end.  */
+/* State machine of one request: tries, retries, hedges, timeouts and completion.  */
 #include "proxy_internal.h"
 
 #include <stdlib.h>
@@ -6,7 +6,7 @@
 
 #include "counters.h"
 
-#define NO_RUNNER_WAIT_MS 10 /* before a retry looks again for a runner with room */
+#define NO_RUNNER_WAIT_MS 10 /* interval at which a retry looks for a runner with capacity */
 
 static struct histogram first_byte = { .name = "sassafras_first_byte_ms",
                                        .help = "Time of a try to the first byte of the answer." };
@@ -27,7 +27,7 @@
 }
 
 static void
-forget_try (struct proxy_call *call, const struct proxy_try *t)
+detach_try (struct proxy_call *call, const struct proxy_try *t)
 {
   for (int i = 0; i < PROXY_CALL_TRIES; i++)
     if (call->tries[i] == t)
@@ -43,7 +43,7 @@
       if (!t || t == except)
         continue;
       call->tries[i] = NULL;
-      call->maybe_ran |= t->sent;
+      call->may_have_run |= t->sent;
       call->last_runner = t->runner;
       try_cancel (t, outcome);
     }
@@ -86,8 +86,8 @@
   call_arm_timer (call);
   if (evicted)
     call_fail ((struct proxy_call *)(void *)((char *)evicted - offsetof (struct proxy_call, item)),
-               STATUS_OVERLOADED, "an urgent request took the place in the queue");
-  service_pump (call->service);
+               STATUS_OVERLOADED, "displaced from the queue by an urgent request");
+  service_dispatch (call->service);
 }
 
 static void
@@ -126,7 +126,7 @@
   int64_t now = proxy_now (call->proxy);
   admission_served (call->service->admission, &call->item, answered,
                     (double)(now - call->first_sent_ms), now);
-  proxy_want_pump (call->proxy);
+  proxy_schedule_dispatch (call->proxy);
 }
 
 void
@@ -139,9 +139,9 @@
   if (call->service)
     wait = admission_wait_ms (call->service->admission, call->urgent, 0);
   call_end_service (call, false);
-  call_finish_intent (call, call->maybe_ran ? INTENT_UNKNOWN : INTENT_NOT_RUN);
+  call_finish_intent (call, call->may_have_run ? INTENT_UNKNOWN : INTENT_NOT_RUN);
   ev_timer_stop (call->proxy->loop, &call->timer);
-  caller_reply_error (call, kind, call->maybe_ran ? RAN_UNKNOWN : RAN_NO, wait, message);
+  caller_reply_error (call, kind, call->may_have_run ? RAN_UNKNOWN : RAN_NO, wait, message);
 }
 
 static bool
@@ -150,9 +150,9 @@
   return code == 500 || code == 502 || code == 503 || code == 504;
 }
 
-/* Whether a complete head is not wanted: another try will answer.  */
+/* Whether an answer is discarded after its head because another try replaces it.  */
 static bool
-head_unwanted (struct proxy_call *call, struct proxy_try *t)
+should_abandon (struct proxy_call *call, struct proxy_try *t)
 {
   if (call->winner)
     return true;
@@ -181,12 +181,13 @@
       t->head.fault = "the end of the answer could not be recognized";
       return;
     }
-  t->gave_up = head_unwanted (call, t);
-  if (t->gave_up)
+  t->abandoned = should_abandon (call, t);
+  if (t->abandoned)
     return;
   call->winner = t;
-  call->buffered = head_bodyless (&t->head, call->method)
-                   || (t->head.content_length >= 0 && t->head.content_length <= PROXY_WHOLE_BYTES);
+  call->buffered
+      = head_bodyless (&t->head, call->method)
+        || (t->head.content_length >= 0 && t->head.content_length <= PROXY_BUFFERED_MAX_BYTES);
   call->stage = CALL_ANSWERING;
   call->progress_ms = now;
   if (tries_open (call) > 1)
@@ -204,7 +205,7 @@
 }
 
 static enum router_outcome
-outcome_of (const struct proxy_try *t, CURLcode result, bool whole)
+outcome_of (const struct proxy_try *t, CURLcode result, bool complete)
 {
   if (t->stale_runner)
     return ROUTER_ABANDONED;
@@ -212,9 +213,9 @@
     return ROUTER_UNREACHABLE;
   if (t->head.complete && t->head.code == 503 && t->head.not_run)
     return ROUTER_REFUSED;
-  if (t->call->winner && t->call->winner != t && t->gave_up)
+  if (t->call->winner && t->call->winner != t && t->abandoned)
     return ROUTER_ABANDONED;
-  return result == CURLE_OK && whole && t->head.code < 500 ? ROUTER_OK : ROUTER_FAILED;
+  return result == CURLE_OK && complete && t->head.code < 500 ? ROUTER_OK : ROUTER_FAILED;
 }
 
 static double
@@ -226,7 +227,7 @@
 }
 
 static bool
-answer_whole (const struct proxy_try *t, CURLcode result)
+answer_complete (const struct proxy_try *t, CURLcode result)
 {
   if (result != CURLE_OK || !t->head.complete || try_overlong (t))
     return false;
@@ -235,16 +236,16 @@
 }
 
 static void
-end_answer (struct proxy_call *call, bool whole)
+end_answer (struct proxy_call *call, bool complete)
 {
   struct proxy *p = call->proxy;
   cancel_tries (call, NULL, ROUTER_ABANDONED);
   call->stage = CALL_ENDED;
-  call->end = whole ? ANSWER_COMPLETE : ANSWER_BROKEN;
-  call->maybe_ran = true;
-  call_finish_intent (call, whole ? INTENT_ANSWERED : INTENT_UNKNOWN);
-  call_end_service (call, whole);
-  if (!whole)
+  call->end = complete ? ANSWER_COMPLETE : ANSWER_BROKEN;
+  call->may_have_run = true;
+  call_finish_intent (call, complete ? INTENT_ANSWERED : INTENT_UNKNOWN);
+  call_end_service (call, complete);
+  if (!complete)
     p->stats.broken++;
   if (call->buffered)
     caller_begin_answer (call);
@@ -266,7 +267,7 @@
     status_set (st, STATUS_NO_BACKEND, "the runner refused the request before it ran");
   else if (t->head.fault)
     status_set (st, STATUS_BACKEND_FAILED, "invalid answer: %s", t->head.fault);
-  else if (t->gave_up)
+  else if (t->abandoned)
     status_set (st, STATUS_BACKEND_FAILED, "the runner answered %d", t->head.code);
   else if (result == CURLE_OK)
     status_set (st, STATUS_BACKEND_FAILED, "the answer is longer than announced");
@@ -288,7 +289,7 @@
 }
 
 static void
-retry_later (struct proxy_call *call, enum retry_cause cause)
+schedule_retry (struct proxy_call *call, enum retry_cause cause)
 {
   int64_t now = proxy_now (call->proxy);
   int64_t wait = cause == RETRY_NOT_SENT && call->tries_started == 1
@@ -306,12 +307,12 @@
 {
   struct retry_request q = retry_view (call);
   if (cause == RETRY_FAILED)
-    call->maybe_ran = true;
+    call->may_have_run = true;
   if (call->stage == CALL_ENDED || tries_open (call) > 0)
     return;
   bool allowed = call->connection && retry_allowed (&q, cause, proxy_now (call->proxy));
   if (allowed && (call->retry_granted || retry_budget_take (&call->service->budget)))
-    retry_later (call, cause);
+    schedule_retry (call, cause);
   else
     call_fail (call, call->failure.kind, call->failure.message);
 }
@@ -320,12 +321,12 @@
 call_try_done (struct proxy_call *call, struct proxy_try *t, CURLcode result)
 {
   struct proxy *p = call->proxy;
-  bool whole = answer_whole (t, result);
+  bool complete = answer_complete (t, result);
   bool won = call->winner == t;
-  enum router_outcome outcome = outcome_of (t, result, whole);
+  enum router_outcome outcome = outcome_of (t, result, complete);
   double latency = first_byte_ms (t);
   int64_t now = proxy_now (p);
-  forget_try (call, t);
+  detach_try (call, t);
   router_finish (p->config.router, t->runner, outcome, latency, t->body_bytes, now);
   call->last_runner = t->runner;
   if (outcome == ROUTER_OK)
@@ -333,7 +334,7 @@
       retry_latency_add (latency_of (call), latency, now);
       histogram_add (&first_byte, latency);
     }
-  if (won && call->buffered && !whole)
+  if (won && call->buffered && !complete)
     {
       call->winner = NULL;
       call->stage = CALL_TRYING;
@@ -342,19 +343,19 @@
       won = false;
     }
   if (won)
-    end_answer (call, whole);
+    end_answer (call, complete);
   else
     {
       record_failure (call, t, result);
       after_failed_try (call, cause_of (t));
     }
   try_free (t);
-  proxy_want_pump (p);
+  proxy_schedule_dispatch (p);
   call_free_when_done (call);
 }
 
 static void
-on_stall (struct proxy_call *call)
+fail_stalled (struct proxy_call *call)
 {
   call->stage = CALL_ENDED;
   call->end = ANSWER_BROKEN;
@@ -366,7 +367,7 @@
   if (call->response)
     caller_resume (call);
   else
-    caller_reply_error (call, STATUS_TIMEOUT, RAN_UNKNOWN, 0, "the runner stopped answering");
+    caller_reply_error (call, STATUS_TIMEOUT, RAN_UNKNOWN, 0, "the runner stopped sending");
 }
 
 static bool
@@ -374,7 +375,7 @@
 {
   struct retry_request q = retry_view (call);
   const struct proxy_try *t = call->tries[0] ? call->tries[0] : call->tries[1];
-  if (call->stage != CALL_TRYING || tries_open (call) != 1 || call->hedged
+  if (call->stage != CALL_TRYING || tries_open (call) != 1 || call->try_timers_off
       || !retry_allowed (&q, RETRY_FAILED, t->started_ms))
     return false;
   *at = t->started_ms + retry_try_timeout_ms (latency_of (call));
@@ -386,7 +387,7 @@
 {
   struct retry_request q = retry_view (call);
   int64_t delay = call->service ? retry_hedge_delay_ms (latency_of (call)) : 0;
-  if (call->stage != CALL_TRYING || call->hedged || tries_open (call) != 1 || delay == 0
+  if (call->stage != CALL_TRYING || call->try_timers_off || tries_open (call) != 1 || delay == 0
       || !call->body_complete || !retry_hedge_allowed (&q, call->urgent))
     return false;
   *at = call->first_sent_ms + delay;
@@ -398,7 +399,7 @@
 {
   struct proxy *p = call->proxy;
   const struct proxy_try *first = call->tries[0] ? call->tries[0] : call->tries[1];
-  call->hedged = true;
+  call->try_timers_off = true;
   struct runner *runner = router_pick (p->config.router, call->service_name, first->runner, now);
   if (!runner || runner == first->runner || !retry_budget_take (&call->service->budget))
     return;
@@ -411,7 +412,7 @@
 {
   if (!retry_budget_take (&call->service->budget))
     {
-      call->hedged = true; /* no token: the try goes on until the deadline */
+      call->try_timers_off = true; /* no token: the try continues until the deadline */
       return;
     }
   call->retry_granted = true;
@@ -419,8 +420,8 @@
     if (call->tries[i])
       retry_latency_add_timeout (latency_of (call), now - call->tries[i]->started_ms, now);
   cancel_tries (call, NULL, ROUTER_TIMED_OUT);
-  status_set (&call->failure, STATUS_TIMEOUT, "no answer in time");
-  retry_later (call, RETRY_FAILED);
+  status_set (&call->failure, STATUS_TIMEOUT, "the try timed out");
+  schedule_retry (call, RETRY_FAILED);
 }
 
 static void
@@ -444,7 +445,7 @@
   if (call->stage == CALL_ANSWERING && !call->buffered)
     {
       if (!call->winner->download_paused && now - call->progress_ms >= PROXY_STALL_MS)
-        on_stall (call);
+        fail_stalled (call);
       return;
     }
   if (now >= call->deadline_ms)
@@ -500,13 +501,13 @@
   ev_timer_start (loop, &call->timer);
 }
 
-/* A caller that leaves takes its request along, unless the request may run only once and its
-   outcome is being recorded: then the answer is still awaited, for the repeat.  */
+/* Cancels the request of a disconnected caller, unless it is unrepeatable and its intent is
+   recorded: then the answer is still awaited, so that a repeat gets it.  */
 void
-call_caller_gone (struct proxy_call *call)
+call_caller_disconnected (struct proxy_call *call)
 {
   bool awaited = call->intent_open && tries_open (call) > 0;
-  ev_io_stop (call->proxy->loop, &call->gone_watch);
+  ev_io_stop (call->proxy->loop, &call->disconnect_watch);
   call->connection = NULL;
   call->suspended = false;
   buffer_close (&call->out);
@@ -521,7 +522,7 @@
       call->stage = CALL_ENDED;
       call->winner = NULL;
       cancel_tries (call, NULL, ROUTER_ABANDONED);
-      call_finish_intent (call, call->maybe_ran ? INTENT_UNKNOWN : INTENT_NOT_RUN);
+      call_finish_intent (call, call->may_have_run ? INTENT_UNKNOWN : INTENT_NOT_RUN);
       call_end_service (call, false);
     }
   call_free_when_done (call);
@@ -543,10 +544,10 @@
   cancel_tries (call, NULL, ROUTER_ABANDONED);
   call_end_service (call, false);
   ev_timer_stop (p->loop, &call->timer);
-  ev_io_stop (p->loop, &call->gone_watch);
+  ev_io_stop (p->loop, &call->disconnect_watch);
   if (call->deferred)
     STAILQ_REMOVE (&p->deferred, call, proxy_call, deferred_link);
-  if (call->limited)
+  if (call->limit_held)
     limit_leave (p->config.limit, call->customer);
   if (call->service)
     service_release (call->service);
--- a/src/request/proxy_caller.c
+++ b/src/request/proxy_caller.c
@@ -1,4 +1,4 @@
-/* The callers' side of the proxy: one libmicrohttpd daemon.  */
+/* Server side of the proxy, towards callers: one libmicrohttpd daemon.  */
 #include "proxy_internal.h"
 
 #include <ctype.h>
@@ -27,7 +27,7 @@
   call->deadline_ms = INT64_MAX;
   head_init (&call->request, false);
   call->timer.data = call;
-  call->gone_watch.data = call;
+  call->disconnect_watch.data = call;
   LIST_INSERT_HEAD (&p->calls, call, link);
   p->stats.open++;
   if (call->caller)
@@ -35,8 +35,8 @@
   return call;
 }
 
-/* While MHD has the connection suspended it does not read, so nobody else would notice that the
-   caller left.  Bytes of a next request end the watch.  */
+/* MHD does not read from a suspended connection and so does not detect that the caller
+   disconnected.  Bytes of a pipelined request end the watch.  */
 static void
 on_caller_readable (struct ev_loop *loop, ev_io *w, int events)
 {
@@ -45,7 +45,7 @@
   (void)events;
   ev_io_stop (loop, w);
   ssize_t n = recv (w->fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (n > 0 || (call->caller && call->caller->shut))
+  if (n > 0 || (call->caller && call->caller->receive_closed))
     return;
   if (!call->suspended)
     return;
@@ -53,7 +53,7 @@
   caller_resume (call);
 }
 
-/* The watch starts with the next tick: most answers come sooner and need none.  */
+/* The disconnect watch starts with the next tick: most answers arrive sooner and need none.  */
 static void
 suspend (struct proxy_call *call)
 {
@@ -64,12 +64,12 @@
 void
 caller_watch (struct proxy_call *call)
 {
-  if (!call->suspended || !call->body_complete || !call->caller || call->caller->shut
-      || ev_is_active (&call->gone_watch))
+  if (!call->suspended || !call->body_complete || !call->caller || call->caller->receive_closed
+      || ev_is_active (&call->disconnect_watch))
     return;
-  ev_io_init (&call->gone_watch, on_caller_readable, call->caller->fd, EV_READ);
-  call->gone_watch.data = call;
-  ev_io_start (call->proxy->loop, &call->gone_watch);
+  ev_io_init (&call->disconnect_watch, on_caller_readable, call->caller->fd, EV_READ);
+  call->disconnect_watch.data = call;
+  ev_io_start (call->proxy->loop, &call->disconnect_watch);
 }
 
 void
@@ -79,7 +79,7 @@
     return;
   call->suspended = false;
   call->upload_suspended = false;
-  ev_io_stop (call->proxy->loop, &call->gone_watch);
+  ev_io_stop (call->proxy->loop, &call->disconnect_watch);
   MHD_resume_connection (call->connection);
   if (call->proxy->http_loop)
     http_loop_kick (call->proxy->http_loop);
@@ -161,8 +161,8 @@
   caller_resume (call);
 }
 
-/* The last byte of an answer of known length is held back until the runner's answer has proved
-   whole, so that a broken answer never looks complete.  */
+/* The last byte of an answer of known length is held back until the runner's answer is complete,
+   so that a broken answer never looks complete.  */
 static size_t
 sendable (const struct proxy_call *call)
 {
@@ -317,7 +317,7 @@
 }
 
 static int
-parse_repeat (struct proxy_call *call, struct status *st)
+parse_idempotency (struct proxy_call *call, struct status *st)
 {
   const char *key = header (call, "Idempotency-Key");
   const char *mark = header (call, "Sassafras-Unrepeatable");
@@ -332,9 +332,9 @@
   return 0;
 }
 
-/* A customer, class or key given twice could be read differently by the runner.  */
+/* A repeated customer, class or key could be interpreted differently by the runner.  */
 static enum MHD_Result
-count_own (void *arg, enum MHD_ValueKind kind, const char *name, const char *value)
+find_repeated_fields (void *arg, enum MHD_ValueKind kind, const char *name, const char *value)
 {
   static const char *const names[]
       = { "Sassafras-Customer",    "Sassafras-Class", "Sassafras-Unrepeatable",
@@ -356,7 +356,7 @@
 {
   const char *customer = header (call, "Sassafras-Customer");
   unsigned seen[2] = { 0, 0 };
-  MHD_get_connection_values (call->connection, MHD_HEADER_KIND, count_own, seen);
+  MHD_get_connection_values (call->connection, MHD_HEADER_KIND, find_repeated_fields, seen);
   if (seen[0] != 0)
     return status_set (st, STATUS_BAD_REQUEST, "a Sassafras, key or Host header is repeated");
   if (!customer || !*customer || strlen (customer) >= sizeof call->customer)
@@ -379,7 +379,7 @@
   if (admission_check (call->service->admission, call->urgent, call->deadline_ms, now, st) < 0
       || limit_enter (p->config.limit, call->customer, now, st) < 0)
     return -1;
-  call->limited = true;
+  call->limit_held = true;
   return 0;
 }
 
@@ -400,7 +400,7 @@
   call->proxy->stats.requests++;
   if (parse_method (call, method, version, &st) < 0 || parse_target (call, &st) < 0
       || parse_head (call, &st) < 0 || parse_customer (call, &st) < 0 || parse_class (call, &st) < 0
-      || parse_repeat (call, &st) < 0 || admit (call, &st) < 0)
+      || parse_idempotency (call, &st) < 0 || admit (call, &st) < 0)
     {
       caller_reply_error (call, st.kind, RAN_NO, retry_after_ms (call, st.kind), st.message);
       return;
@@ -423,10 +423,10 @@
       try_resume_upload (call->tries[i]);
 }
 
-/* Part of the body.  Once the request has ended the rest is read and dropped, because MHD takes an
-   answer only before or after the body.  */
+/* Buffers part of the body.  After the request has ended the rest is read and discarded, because
+   MHD accepts an answer only before or after the body.  */
 static enum MHD_Result
-take_body (struct proxy_call *call, const char *data, size_t *size)
+receive_body (struct proxy_call *call, const char *data, size_t *size)
 {
   if (call->stage == CALL_ENDED)
     {
@@ -434,8 +434,8 @@
       *size = 0;
       return call->discarded > PROXY_DISCARD_BYTES ? MHD_NO : MHD_YES;
     }
-  size_t room = call->body.len < PROXY_BODY_BYTES ? PROXY_BODY_BYTES - call->body.len : 0;
-  size_t n = *size < room ? *size : room;
+  size_t space = call->body.len < PROXY_BODY_BYTES ? PROXY_BODY_BYTES - call->body.len : 0;
+  size_t n = *size < space ? *size : space;
   buffer_append (&call->body, data, n);
   *size -= n;
   resume_uploads (call);
@@ -469,7 +469,7 @@
   return MHD_YES;
 }
 
-/* MHD closes the connection after an answer that comes before the body was read.  An overloaded
+/* MHD closes the connection after an answer that is queued before the body was read.  An overloaded
    entry would then spend more on new connections than on refusals, so a short body is read first.
  */
 static bool
@@ -496,7 +496,7 @@
       return call->response && !body_is_short (call) ? queue_answer (call) : MHD_YES;
     }
   if (*size > 0)
-    return take_body (call, data, size);
+    return receive_body (call, data, size);
   return end_of_request (call);
 }
 
@@ -507,11 +507,11 @@
 }
 
 static void
-shut_idle (struct proxy_connection *c)
+shut_down_idle (struct proxy_connection *c)
 {
-  if (c->busy || c->shut)
+  if (c->busy || c->receive_closed)
     return;
-  c->shut = true;
+  c->receive_closed = true;
   shutdown (c->fd, SHUT_RD);
 }
 
@@ -530,12 +530,12 @@
     {
       call->caller->busy = false;
       if (p->draining)
-        shut_idle (call->caller);
+        shut_down_idle (call->caller);
     }
   call->caller = NULL;
   if (!call->parsed)
     call->stage = CALL_ENDED;
-  call_caller_gone (call);
+  call_caller_disconnected (call);
 }
 
 static void
@@ -563,7 +563,7 @@
   proxy_check_drained (p);
 }
 
-/* The runner gets the target exactly as the caller wrote it.  */
+/* The target is forwarded byte for byte, with its percent-encoding.  */
 static size_t
 keep_escapes (void *arg, struct MHD_Connection *connection, char *text)
 {
--- a/src/request/proxy_head.c
+++ b/src/request/proxy_head.c
@@ -48,7 +48,7 @@
 }
 
 static bool
-value_clean (const char *value, size_t len)
+value_valid (const char *value, size_t len)
 {
   for (size_t i = 0; i < len; i++)
     {
@@ -97,9 +97,9 @@
   h->chunked = true;
 }
 
-/* Fields that the proxy uses itself; true when the field is not forwarded as it is.  */
+/* Handles fields that the proxy uses; true when the field is not forwarded unchanged.  */
 static bool
-interpret (struct head *h, const char *name, const char *value)
+consume_field (struct head *h, const char *name, const char *value)
 {
   if (strcasecmp (name, "Content-Length") == 0)
     add_length (h, value);
@@ -127,12 +127,12 @@
 head_add (struct head *h, const char *name, const char *value, size_t value_len)
 {
   if (!is_token (name, strlen (name)) || strlen (value) != value_len
-      || !value_clean (value, value_len))
+      || !value_valid (value, value_len))
     {
       h->fault = "a field name or value contains characters that are not allowed";
       return;
     }
-  if (interpret (h, name, value))
+  if (consume_field (h, name, value))
     return;
   if (h->lines.len + strlen (name) + value_len > HEAD_MAX_BYTES)
     {
@@ -142,7 +142,7 @@
   buffer_printf (&h->lines, "%s: %s\n", name, value);
 }
 
-/* Whether the comma-separated LIST contains the LEN bytes at NAME, without regard to case.  */
+/* Whether the comma-separated LIST contains the LEN bytes at NAME, ignoring case.  */
 static bool
 list_contains (const char *list, const char *name, size_t len)
 {
@@ -184,7 +184,7 @@
   h->complete = true;
 }
 
-/* A status line begins a new head: an interim answer before it is forgotten.  */
+/* A status line starts a new head and discards the fields of an interim (1xx) answer.  */
 static void
 start_answer (struct head *h, const char *line, size_t len)
 {
--- a/src/request/proxy_intent.c
+++ b/src/request/proxy_intent.c
@@ -1,4 +1,4 @@
-/* Unrepeatable requests with an Idempotency-Key: record the intent, run once, record the end.  */
+/* Unrepeatable requests with an Idempotency-Key: intent recorded, run once, outcome recorded.  */
 #include "proxy_internal.h"
 
 #include <string.h>
@@ -11,7 +11,7 @@
     = { .name = "sassafras_intent_finish_failures_total",
         .help = "Outcomes of unrepeatable requests that could not be recorded." };
 
-/* Two requests with one key are the same when method, target and the start of the body agree.  */
+/* Requests with one key are the same when method, target and the start of the body are equal.  */
 static uint64_t
 fingerprint (const struct proxy_call *call)
 {
@@ -32,7 +32,7 @@
   bool ran = o && o->result == INTENT_ANSWERED;
   caller_reply_error (call, STATUS_OUTCOME_UNKNOWN, ran ? RAN_YES : RAN_UNKNOWN, 0,
                       ran ? "the request ran; its answer was too large to store"
-                          : "the request was sent before and no whole answer came");
+                          : "the request was sent before without a complete answer");
 }
 
 static void
@@ -41,7 +41,7 @@
   struct proxy_call *call = arg;
   call->intent_pending = false;
   call->intent_open = state == INTENT_NEW;
-  if (!call->connection || call->stage != CALL_INTENT) /* left, or answered as not run */
+  if (!call->connection || call->stage != CALL_INTENT) /* disconnected, or answered as not run */
     {
       call_finish_intent (call, INTENT_NOT_RUN);
       call_free_when_done (call);
@@ -60,7 +60,7 @@
       answer_done (call, outcome);
       break;
     case INTENT_KEY_REUSED:
-      call_fail (call, STATUS_BAD_REQUEST, "the Idempotency-Key stands for a different request");
+      call_fail (call, STATUS_BAD_REQUEST, "the Idempotency-Key was used for a different request");
       break;
     case INTENT_UNAVAILABLE:
       /* This attempt was not sent, but an earlier one with the same key may have run.  */
@@ -76,7 +76,7 @@
   struct intent_store *store = call->proxy->config.intents;
   if (!store)
     {
-      call_fail (call, STATUS_NO_QUORUM, "intents are not recorded here");
+      call_fail (call, STATUS_NO_QUORUM, "no intent store is configured");
       return;
     }
   call->stage = CALL_INTENT;
@@ -106,7 +106,7 @@
     {
       const struct head *head = &call->winner->head;
       bool fits
-          = !call->stored_overflow && head->lines.len + call->stored.len <= INTENT_ANSWER_BYTES;
+          = !call->stored_too_large && head->lines.len + call->stored.len <= INTENT_ANSWER_BYTES;
       outcome.code = head->code;
       outcome.headers = fits && head->lines.data ? head->lines.data : "";
       outcome.headers_len = fits ? head->lines.len : 0;
--- a/src/request/proxy_service.c
+++ b/src/request/proxy_service.c
@@ -1,4 +1,4 @@
-/* The queue, retry budget and latencies of each service.  */
+/* Queue, retry budget and latencies of each service.  */
 #include "proxy_internal.h"
 
 #include <stdlib.h>
@@ -42,7 +42,7 @@
   free (s);
 }
 
-/* Forgets services that nobody uses any more, so that names cannot fill the memory.  */
+/* Frees unused services, so that requests with many names cannot exhaust memory.  */
 static unsigned
 count_services (struct proxy *p)
 {
@@ -92,28 +92,29 @@
 }
 
 static void
-drop_expired (struct proxy_service *s, int64_t now)
+fail_expired (struct proxy_service *s, int64_t now)
 {
   struct admission_item *item;
   while ((item = admission_pop_expired (s->admission, now)))
     call_fail (call_of (item), STATUS_DEADLINE_EXCEEDED, "no runner was free in time");
 }
 
-/* Requests wait for a runner to appear only for a short time: until this entry has learned the
-   runners of the others, or the only runner has restarted.  */
+/* Requests wait only briefly for a service without runners: until this entry has learned the
+   runners from its peers, or the only runner has restarted.  */
 static bool
-give_up_waiting (struct proxy_service *s, int64_t now)
+fail_without_runner (struct proxy_service *s, int64_t now)
 {
   struct proxy *p = s->proxy;
   struct admission_item *item;
   if (router_live (p->config.router, s->name, now) > 0)
     {
-      s->empty_since_ms = 0;
+      s->no_runner_since_ms = 0;
       return false;
     }
-  if (s->empty_since_ms == 0)
-    s->empty_since_ms = now;
-  if (now - s->empty_since_ms < NO_RUNNER_GRACE_MS || runner_table_learning (p->config.table, now))
+  if (s->no_runner_since_ms == 0)
+    s->no_runner_since_ms = now;
+  if (now - s->no_runner_since_ms < NO_RUNNER_GRACE_MS
+      || runner_table_learning (p->config.table, now))
     return false;
   while ((item = admission_pop_any (s->admission)))
     call_fail (call_of (item), STATUS_NO_BACKEND, "no backend server is left");
@@ -121,12 +122,12 @@
 }
 
 void
-service_pump (struct proxy_service *s)
+service_dispatch (struct proxy_service *s)
 {
   struct proxy *p = s->proxy;
   int64_t now = proxy_now (p);
-  drop_expired (s, now);
-  if (give_up_waiting (s, now))
+  fail_expired (s, now);
+  if (fail_without_runner (s, now))
     return;
   while (admission_queued (s->admission) > 0)
     {
--- a/src/request/proxy_try.c
+++ b/src/request/proxy_try.c
@@ -1,4 +1,4 @@
-/* The runners' side of the proxy: one libcurl transfer per try.  */
+/* Client side of the proxy, towards runners: one libcurl transfer per try.  */
 #include "proxy_internal.h"
 
 #include <linux/tcp.h>
@@ -10,8 +10,8 @@
 
 #define URL_PREFIX "http://"
 
-/* tcpi_state of connections whose peer has not ended the stream; <netinet/tcp.h>, which names them,
-   has another struct tcp_info.  */
+/* tcpi_state values before the peer's FIN; <netinet/tcp.h>, which defines them, has a different
+   struct tcp_info.  */
 enum
 {
   STATE_ESTABLISHED = 1,
@@ -19,10 +19,9 @@
   STATE_FIN_WAIT2 = 5,
 };
 
-/* The kernel counts the end of the stream as one received byte (RFC 9293: FIN takes a sequence
-   number).  */
+/* The kernel counts a FIN as one received byte (RFC 9293: FIN occupies a sequence number).  */
 static bool
-end_was_received (const struct tcp_info *info)
+fin_received (const struct tcp_info *info)
 {
   return info->tcpi_state != STATE_ESTABLISHED && info->tcpi_state != STATE_FIN_WAIT1
          && info->tcpi_state != STATE_FIN_WAIT2;
@@ -37,7 +36,7 @@
 }
 
 /* Payload bytes that FD has received since it was opened, read or not; 0 when unknown.  The kernel
-   reads the state before the count, so both belong together only when a second look agrees.  */
+   reads the state before the count, so they are consistent only when a second read agrees.  */
 static uint64_t
 bytes_received (int fd)
 {
@@ -55,7 +54,7 @@
          || info.tcpi_bytes_received != again.tcpi_bytes_received);
   if (info.tcpi_bytes_received == 0)
     return 0;
-  return info.tcpi_bytes_received - end_was_received (&info);
+  return info.tcpi_bytes_received - fin_received (&info);
 }
 
 static void
@@ -74,7 +73,7 @@
   if (fd < 0)
     return;
   struct proxy_try *previous = t->call->proxy->sockets[fd].current;
-  if (previous) /* its answer is over, but libcurl has not reported it yet */
+  if (previous) /* its answer has ended, but libcurl has not reported it yet */
     unwatch_fd (previous);
   t->fd = fd;
   t->received_before = bytes_received (fd);
@@ -120,7 +119,7 @@
          && strcmp (s->remote_ip, remote_ip) == 0;
 }
 
-/* The socket that carries T: the one opened for it, or the reused one with these addresses.  */
+/* The socket that T uses: the one opened for it, or the reused one with these addresses.  */
 static int
 find_socket (struct proxy_try *t, const char *remote_ip, int remote_port, int local_port)
 {
@@ -140,10 +139,10 @@
   return *hint = fd;
 }
 
-/* The connection stands and the request goes out next: the last moment at which a try can be
-   stopped for certain.  */
+/* Called when the connection is established, before the request is sent: the last point at which
+   a try can be stopped for certain.  */
 static int
-on_ready (void *arg, char *remote_ip, char *local_ip, int remote_port, int local_port)
+on_prerequest (void *arg, char *remote_ip, char *local_ip, int remote_port, int local_port)
 {
   struct proxy_try *t = arg;
   (void)local_ip;
@@ -167,17 +166,17 @@
   head_add_line (&t->head, data, len);
   if (!t->head.fault && !before && t->head.complete)
     call_head_complete (t->call, t);
-  return t->head.fault || t->gave_up ? 0 : len;
+  return t->head.fault || t->abandoned ? 0 : len;
 }
 
 static void
 store_copy (struct proxy_call *call, const char *data, size_t len)
 {
-  if (!call->intent_open || call->stored_overflow)
+  if (!call->intent_open || call->stored_too_large)
     return;
   if (call->stored.len + len > INTENT_ANSWER_BYTES)
     {
-      call->stored_overflow = true;
+      call->stored_too_large = true;
       buffer_close (&call->stored);
       return;
     }
@@ -227,7 +226,7 @@
 {
   struct proxy_try *t = arg;
   struct proxy_call *call = t->call;
-  size_t room = size * count;
+  size_t space = size * count;
   size_t offset = t->upload_pos - call->body_base;
   size_t ready = call->body.len - offset;
   if (ready == 0 && call->body_complete)
@@ -237,7 +236,7 @@
       t->upload_paused = true;
       return CURL_READFUNC_PAUSE;
     }
-  size_t n = ready < room ? ready : room;
+  size_t n = ready < space ? ready : space;
   memcpy (data, call->body.data + offset, n);
   t->upload_pos += n;
   drop_sent (call, t);
@@ -273,13 +272,13 @@
   if (*value)
     buffer_printf (&line, "%s: %s", name, value);
   else
-    buffer_printf (&line, "%s;", name); /* libcurl's form of a field without a value */
+    buffer_printf (&line, "%s;", name); /* libcurl syntax of a field without a value */
   t->fields = curl_slist_append (t->fields, line.data);
   buffer_close (&line);
 }
 
 static void
-add_missing (struct proxy_try *t, const char *name)
+suppress_default_field (struct proxy_try *t, const char *name)
 {
   const char *lines = t->call->request.lines.data;
   char prefix[32];
@@ -290,7 +289,7 @@
   for (const char *p = lines; p && *p; p = strchr (p, '\n') + 1)
     if (strncasecmp (p, prefix, len + 1) == 0)
       return;
-  t->fields = curl_slist_append (t->fields, prefix); /* no value: libcurl adds none of its own */
+  t->fields = curl_slist_append (t->fields, prefix); /* no value: libcurl omits its default */
 }
 
 static void
@@ -302,9 +301,9 @@
   head_each (&call->request, add_field, t);
   snprintf (left, sizeof left, "%lld", (long long)(ms > 0 ? ms : 1));
   add_field (t, "Sassafras-Deadline-Ms", left);
-  add_missing (t, "Accept");
-  add_missing (t, "Expect");
-  add_missing (t, "Content-Type");
+  suppress_default_field (t, "Accept");
+  suppress_default_field (t, "Expect");
+  suppress_default_field (t, "Content-Type");
   curl_easy_setopt (t->easy, CURLOPT_HTTPHEADER, t->fields);
 }
 
@@ -340,8 +339,8 @@
     curl_easy_setopt (t->easy, CURLOPT_INFILESIZE_LARGE, (curl_off_t)length);
 }
 
-/* libcurl may send a request again when a reused connection turns out to be dead.  With a body it
-   cannot, since it is not able to rewind ours; without one, only idempotent requests may reuse.  */
+/* libcurl may resend a request when a reused connection turns out to be closed.  With a body it
+   cannot, since it cannot rewind ours; without one, only idempotent requests reuse connections.  */
 static void
 set_connection (struct proxy_try *t)
 {
@@ -349,7 +348,7 @@
   bool has_body = call->request.content_length > 0 || call->request.chunked;
   if (call->unrepeatable || (!call->idempotent && !has_body))
     curl_easy_setopt (t->easy, CURLOPT_FRESH_CONNECT, 1L);
-  curl_easy_setopt (t->easy, CURLOPT_PREREQFUNCTION, on_ready);
+  curl_easy_setopt (t->easy, CURLOPT_PREREQFUNCTION, on_prerequest);
   curl_easy_setopt (t->easy, CURLOPT_PREREQDATA, t);
   curl_easy_setopt (t->easy, CURLOPT_OPENSOCKETFUNCTION, on_open_socket);
   curl_easy_setopt (t->easy, CURLOPT_OPENSOCKETDATA, t);
@@ -368,23 +367,23 @@
 }
 
 static CURL *
-take_easy (struct proxy *p)
+acquire_easy (struct proxy *p)
 {
-  if (p->spares > 0)
-    return p->spare[--p->spares];
+  if (p->idle_easy_count > 0)
+    return p->idle_easy[--p->idle_easy_count];
   return curl_easy_init ();
 }
 
 static void
-give_easy (struct proxy *p, CURL *easy)
+release_easy (struct proxy *p, CURL *easy)
 {
-  if (p->spares == sizeof p->spare / sizeof *p->spare)
+  if (p->idle_easy_count == sizeof p->idle_easy / sizeof *p->idle_easy)
     {
       curl_easy_cleanup (easy);
       return;
     }
   curl_easy_reset (easy);
-  p->spare[p->spares++] = easy;
+  p->idle_easy[p->idle_easy_count++] = easy;
 }
 
 struct proxy_try *
@@ -394,7 +393,7 @@
   struct proxy_try *t = xcalloc (1, sizeof *t);
   t->call = call;
   t->runner = runner;
-  t->easy = take_easy (p);
+  t->easy = acquire_easy (p);
   t->fd = -1;
   t->opened_fd = -1;
   t->started_ms = proxy_now (p);
@@ -416,7 +415,7 @@
 {
   curl_slist_free_all (t->fields);
   head_close (&t->head);
-  give_easy (t->call->proxy, t->easy);
+  release_easy (t->call->proxy, t->easy);
   free (t);
 }
 
--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -1,5 +1,5 @@
-/* Processes for tests and benchmarks of the request path: an entry (proxy and announcements) and
-   runners (the stand-in), each in a forked child on loopback, and a blocking raw caller.  */
+/* Processes for tests and benchmarks of the request path: an entry VM (proxy and announcements) and
+   stand-in runners, each in a forked child on loopback, and a blocking HTTP caller.  */
 
 #ifndef SASSAFRAS_PROXY_FIXTURE_H
 #define SASSAFRAS_PROXY_FIXTURE_H
@@ -15,7 +15,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-int runner_main (int argc, char **argv); /* the stand-in as a function */
+int runner_main (int argc, char **argv); /* main of the stand-in */
 #define main runner_main
 #include "../standins/runner.c"
 #undef main
@@ -37,20 +37,20 @@
 
 /* ---- the entry ---- */
 
-#define FIXTURE_SLOW_BEGIN_S 0.1
+#define FIXTURE_BEGIN_DELAY_S 0.1
 
-/* An intent store that answers begin later for keys that start with "slow".  */
-struct slow_store
+/* An intent store that delays begin for keys that start with "slow".  */
+struct delayed_store
 {
   struct intent_store store; /* first member: the vtable */
   struct intent_store *memory;
   struct ev_loop *loop;
-  int begun; /* slow begins answered */
+  int begun; /* delayed begins completed */
 };
 
-struct slow_begin
+struct delayed_begin
 {
-  struct slow_store *s;
+  struct delayed_store *s;
   ev_timer timer;
   char *customer;
   char *key;
@@ -60,9 +60,9 @@
 };
 
 static void
-slow_begin_now (struct ev_loop *loop, ev_timer *w, int events)
+delayed_begin_run (struct ev_loop *loop, ev_timer *w, int events)
 {
-  struct slow_begin *b = w->data;
+  struct delayed_begin *b = w->data;
   struct intent_key key = { b->customer, b->key, b->fingerprint };
   (void)loop;
   (void)events;
@@ -74,33 +74,33 @@
 }
 
 static void
-slow_begin (struct intent_store *store, const struct intent_key *key, intent_begin_fn *done,
-            void *arg)
+delayed_begin (struct intent_store *store, const struct intent_key *key, intent_begin_fn *done,
+               void *arg)
 {
-  struct slow_store *s = (struct slow_store *)store;
+  struct delayed_store *s = (struct delayed_store *)store;
   if (strncmp (key->key, "slow", 4) != 0)
     {
       s->memory->ops->begin (s->memory, key, done, arg);
       return;
     }
-  struct slow_begin *b = xcalloc (1, sizeof *b);
-  *b = (struct slow_begin){ .s = s, .fingerprint = key->fingerprint, .done = done, .arg = arg };
+  struct delayed_begin *b = xcalloc (1, sizeof *b);
+  *b = (struct delayed_begin){ .s = s, .fingerprint = key->fingerprint, .done = done, .arg = arg };
   b->customer = xstrdup (key->customer);
   b->key = xstrdup (key->key);
-  ev_timer_init (&b->timer, slow_begin_now, FIXTURE_SLOW_BEGIN_S, 0.0);
+  ev_timer_init (&b->timer, delayed_begin_run, FIXTURE_BEGIN_DELAY_S, 0.0);
   b->timer.data = b;
   ev_timer_start (s->loop, &b->timer);
 }
 
 static void
-slow_finish (struct intent_store *store, const struct intent_key *key,
-             const struct intent_outcome *outcome, intent_finish_fn *done, void *arg)
+delayed_finish (struct intent_store *store, const struct intent_key *key,
+                const struct intent_outcome *outcome, intent_finish_fn *done, void *arg)
 {
-  struct slow_store *s = (struct slow_store *)store;
+  struct delayed_store *s = (struct delayed_store *)store;
   s->memory->ops->finish (s->memory, key, outcome, done, arg);
 }
 
-static const struct intent_store_ops slow_ops = { slow_begin, slow_finish };
+static const struct intent_store_ops delayed_ops = { delayed_begin, delayed_finish };
 
 struct entry
 {
@@ -109,7 +109,7 @@
   struct router router;
   struct limit *limit;
   struct intent_store *intents;
-  struct slow_store slow;
+  struct delayed_store slow;
   struct runner_api api;
   struct proxy *proxy;
   struct http_server *admin;
@@ -198,7 +198,7 @@
   router_init (&e.router, &routing, e.table, now);
   e.limit = limit_open (&source, 1, now);
   e.intents = intent_memory_open ();
-  e.slow = (struct slow_store){ { &slow_ops }, e.intents, e.loop, 0 };
+  e.slow = (struct delayed_store){ { &delayed_ops }, e.intents, e.loop, 0 };
   struct proxy_config config = { .address = "127.0.0.1:0",
                                  .clock = clock_real (),
                                  .table = e.table,
@@ -309,10 +309,10 @@
 
 struct reply
 {
-  int code; /* 0 when no head came */
+  int code; /* 0 when no head was received */
   struct buffer head;
   struct buffer body; /* decoded */
-  bool whole;         /* the framing says that the answer is complete */
+  bool whole;         /* complete according to its framing */
 };
 
 static int
@@ -394,7 +394,7 @@
   r->whole = r->body.len == size;
 }
 
-/* Reads one answer; IN keeps what follows it.  */
+/* Reads one answer; bytes after it stay in IN.  */
 static void
 read_reply (int fd, struct buffer *in, struct reply *r, bool head_only)
 {
@@ -460,7 +460,7 @@
   return value;
 }
 
-/* Polls until the statistic has the value; false after FIXTURE_TIMEOUT_S.  */
+/* Polls until the statistic equals VALUE; false after FIXTURE_TIMEOUT_S.  */
 static bool
 wait_statistic (int port, const char *path, const char *name, long value)
 {
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -1,6 +1,6 @@
-/* Guards against callers who get no, a partial or somebody else's answer, against requests that run
-   twice, and against requests cut off by a departing runner or a draining entry.  Real proxy and
-   runner stand-ins on loopback, each in its own process.  */
+/* Guards against missing, partial or swapped answers, against requests that run twice, and against
+   requests cut off by a departing runner or a draining entry.  Runs the real proxy and stand-in
+   runners on loopback, each in its own process.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,8 @@
 #include "proxy_fixture.h"
 
 #define PARALLEL 16
-/* AddressSanitizer keeps freed memory for a while, so that only a whole answer in memory shows.  */
+/* AddressSanitizer delays the reuse of freed memory, so only a fully buffered answer is detected.
+ */
 #ifdef __SANITIZE_ADDRESS__
 #define MEMORY_GROWTH_KB 20000
 #else
@@ -40,13 +41,13 @@
 }
 
 static bool
-says (const struct reply *r, const char *text)
+has (const struct reply *r, const char *text)
 {
   return r->body.data && strstr (r->body.data, text);
 }
 
 static bool
-head_says (const struct reply *r, const char *text)
+head_has (const struct reply *r, const char *text)
 {
   return r->head.data && strstr (r->head.data, text);
 }
@@ -147,16 +148,16 @@
         if (r.whole && r.code < 500)
           fail_msg ("mode %s with %ld bytes looks complete", modes[i], sizes[k]);
         if (r.whole)
-          assert_true (says (&r, "\"ran\":\"unknown\""));
+          assert_true (has (&r, "\"ran\":\"unknown\""));
         free_reply (&r);
         assert_true (wait_statistic (entry.admin_port, "/stats", "open", 0));
       }
 }
 
-/* A backend server that closes its connection right behind a whole answer has answered: the end of
-   the connection must not count as excess data.  */
+/* A backend server may close its connection right after a complete answer: the FIN must not count
+   as excess data.  */
 static void
-test_a_close_behind_the_answer_is_not_excess (void **state)
+test_close_after_answer_is_not_excess_data (void **state)
 {
   (void)state;
   for (int i = 0; i < 200; i++)
@@ -179,7 +180,7 @@
   r = exchange (entry.port, "HEAD /v1/call/echo/x?bytes=500 HTTP/1.1\r\nHost: e\r\n"
                             "Sassafras-Customer: huron\r\n\r\n");
   assert_int_equal (r.code, 200);
-  assert_true (head_says (&r, "Content-Length: 500"));
+  assert_true (head_has (&r, "Content-Length: 500"));
   free_reply (&r);
 }
 
@@ -224,8 +225,8 @@
   struct reply again = post_call ("/v1/call/echo/t?tag=ticket", marks, "one");
   assert_int_equal (first.code, 200);
   assert_int_equal (again.code, 200);
-  assert_true (head_says (&again, "Sassafras-Replayed: 1"));
-  assert_true (first.body.data && says (&again, first.body.data));
+  assert_true (head_has (&again, "Sassafras-Replayed: 1"));
+  assert_true (first.body.data && has (&again, first.body.data));
   free_reply (&again);
   again = post_call ("/v1/call/echo/t?tag=ticket", marks, "two");
   assert_int_equal (again.code, 400);
@@ -243,11 +244,11 @@
     {
       struct reply r = post_call ("/v1/call/echo/t?mode=reset", marks, "one");
       assert_true (r.code >= 500);
-      assert_true (says (&r, "\"ran\":\"unknown\""));
+      assert_true (has (&r, "\"ran\":\"unknown\""));
       assert_int_equal (executions ("k2"), 1);
       free_reply (&r);
     }
-  /* On a connection that was used before, libcurl would send these again by itself.  */
+  /* libcurl itself would resend these on a reused connection.  */
   static const char *const requests[]
       = { "POST /v1/call/echo/t?mode=reset HTTP/1.1\r\nHost: e\r\nSassafras-Customer: huron\r\n"
           "Idempotency-Key: k3\r\nContent-Length: 0\r\n\r\n",
@@ -265,9 +266,9 @@
     }
 }
 
-/* The caller of an unrepeatable request leaves: its repeat gets the answer of the first run.  */
+/* The caller of an unrepeatable request disconnects: a repeat gets the answer of the first run.  */
 static void
-test_unrepeatable_outlives_its_caller (void **state)
+test_unrepeatable_completes_after_caller_disconnects (void **state)
 {
   (void)state;
   const char *request = "POST /v1/call/echo/t?ms=150&tag=late HTTP/1.1\r\nHost: e\r\n"
@@ -283,19 +284,19 @@
       r = exchange (entry.port, request);
       if (r.code != 409)
         break;
-      assert_true (says (&r, "in-progress"));
+      assert_true (has (&r, "in-progress"));
       free_reply (&r);
     }
   assert_int_equal (r.code, 200);
-  assert_true (says (&r, "late"));
+  assert_true (has (&r, "late"));
   assert_int_equal (executions ("k4"), 1);
   free_reply (&r);
 }
 
-/* The deadline passes, or the caller leaves, while the intent is being recorded: the request must
-   not run afterwards, and its key must be free again.  */
+/* The deadline passes, or the caller disconnects, while the intent is being recorded: the request
+   must not run afterwards, and its key must be usable again.  */
 static void
-test_late_intent_runs_nothing (void **state)
+test_late_intent_is_not_run (void **state)
 {
   (void)state;
   const char *marks = "Sassafras-Unrepeatable: 1\r\nIdempotency-Key: slow1\r\n"
@@ -305,7 +306,7 @@
                         "Content-Length: 3\r\n\r\none";
   struct reply r = post_call ("/v1/call/echo/t", marks, "one");
   assert_int_equal (r.code, 504);
-  assert_true (says (&r, "\"ran\":\"no\""));
+  assert_true (has (&r, "\"ran\":\"no\""));
   free_reply (&r);
   int fd = dial (entry.port);
   assert_true (send_all (fd, request, strlen (request)));
@@ -318,8 +319,7 @@
   free_reply (&r);
 }
 
-/* The same while the rest of a long body is still to come, so that the answer has to wait for it.
- */
+/* The same while the rest of a long body is outstanding, which delays the answer.  */
 static void
 test_late_intent_with_a_long_body (void **state)
 {
@@ -339,7 +339,7 @@
   assert_true (send_all (fd, body + 70000, sizeof body - 70000));
   read_reply (fd, &in, &r, false);
   assert_int_equal (r.code, 504);
-  assert_true (says (&r, "\"ran\":\"no\""));
+  assert_true (has (&r, "\"ran\":\"no\""));
   assert_true (wait_statistic (entry.admin_port, "/stats", "open", 0));
   assert_int_equal (executions ("slow2"), 0);
   free_reply (&r);
@@ -348,24 +348,24 @@
 }
 
 static void
-test_not_run_is_said_only_when_true (void **state)
+test_not_run_is_reported_only_when_true (void **state)
 {
   (void)state;
   struct reply r = post_call ("/v1/call/echo/x?mode=not-run", "", "");
   assert_int_equal (r.code, 503);
-  assert_true (says (&r, "\"ran\":\"no\""));
+  assert_true (has (&r, "\"ran\":\"no\""));
   free_reply (&r);
   r = post_call ("/v1/call/echo/x?mode=hang", "Sassafras-Deadline-Ms: 60\r\n", "");
   assert_int_equal (r.code, 504);
-  assert_true (says (&r, "\"ran\":\"unknown\""));
+  assert_true (has (&r, "\"ran\":\"unknown\""));
   free_reply (&r);
   r = get (entry.port, "/v1/call/nobody/x");
   assert_true (r.code >= 500);
-  assert_true (says (&r, "\"ran\":\"no\""));
+  assert_true (has (&r, "\"ran\":\"no\""));
   free_reply (&r);
 }
 
-/* An abandoned try answers later: the next request on the same connection must not get it.  */
+/* The late answer of an abandoned try must not go to the next request on the same connection.  */
 static void
 test_late_answers_are_dropped (void **state)
 {
@@ -384,16 +384,16 @@
       read_reply (fd, &in, &r, false);
       assert_int_equal (r.code, i % 2 ? 200 : 504);
       snprintf (request, sizeof request, "number-%d.", i);
-      assert_int_equal (says (&r, request), i % 2);
+      assert_int_equal (has (&r, request), i % 2);
       free_reply (&r);
     }
   close (fd);
   buffer_close (&in);
 }
 
-/* Callers that are being served and callers that wait in the queue leave.  */
+/* Callers whose requests are in service or queued disconnect.  */
 static void
-test_caller_gone_frees_the_runner (void **state)
+test_caller_disconnect_frees_the_runner (void **state)
 {
   (void)state;
   const char *request = "POST /v1/call/echo/x?mode=hang HTTP/1.1\r\nHost: e\r\n"
@@ -429,7 +429,7 @@
 }
 
 static void
-test_slow_caller_holds_little_memory (void **state)
+test_slow_caller_memory_is_bounded (void **state)
 {
   (void)state;
   const long size = 40000000;
@@ -456,7 +456,7 @@
 }
 
 static void
-test_limits_of_customers (void **state)
+test_customer_limits (void **state)
 {
   (void)state;
   const char *slow = "GET /v1/call/echo/x?ms=100 HTTP/1.1\r\nHost: e\r\nSassafras-Customer: small"
@@ -468,7 +468,7 @@
   assert_true (wait_statistic (entry.admin_port, "/stats", "open", 1));
   struct reply refused = exchange (entry.port, slow);
   assert_int_equal (refused.code, 429);
-  assert_true (head_says (&refused, "Retry-After: "));
+  assert_true (head_has (&refused, "Retry-After: "));
   read_reply (fd, &in, &r, false);
   assert_int_equal (r.code, 200);
   free_reply (&r);
@@ -481,7 +481,7 @@
   free_reply (&r);
 }
 
-/* Under overload a refusal must not cost the caller its connection.  */
+/* A refusal must keep the caller's connection open, also under overload.  */
 static void
 test_refusal_keeps_the_connection (void **state)
 {
@@ -507,7 +507,7 @@
   close (fd);
 }
 
-/* PARALLEL requests at once; returns how many were answered whole with 200.  */
+/* Sends PARALLEL requests at once; returns the number of complete answers with status 200.  */
 static int
 round_of_requests (int port, const char *method, int ms)
 {
@@ -539,8 +539,8 @@
   return good;
 }
 
-/* Connections to the runner are used again by other requests before the end of the last answer is
-   reported: the answers must not be confused or called over-long.  */
+/* Connections to the runner are reused by other requests before libcurl reports the end of the
+   last answer: answers must not be swapped or treated as overlong.  */
 static void
 test_many_requests_share_connections (void **state)
 {
@@ -567,7 +567,7 @@
   assert_true (WIFEXITED (status) && WEXITSTATUS (status) == 0);
 }
 
-/* A runner dies without a word: idempotent requests are answered by the other one.  */
+/* A runner is killed without departing: idempotent requests are answered by the other one.  */
 static void
 test_dead_runner_is_retried (void **state)
 {
@@ -626,20 +626,20 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_forwards_whole_answers),
     cmocka_unit_test (test_streams_uploads_both_ways),
-    cmocka_unit_test (test_caller_gone_frees_the_runner),
+    cmocka_unit_test (test_caller_disconnect_frees_the_runner),
     cmocka_unit_test (test_broken_answers_never_look_complete),
-    cmocka_unit_test (test_a_close_behind_the_answer_is_not_excess),
+    cmocka_unit_test (test_close_after_answer_is_not_excess_data),
     cmocka_unit_test (test_answers_without_body),
     cmocka_unit_test (test_refuses_ambiguous_requests),
     cmocka_unit_test (test_unrepeatable_runs_once),
     cmocka_unit_test (test_unrepeatable_is_not_retried),
-    cmocka_unit_test (test_unrepeatable_outlives_its_caller),
-    cmocka_unit_test (test_late_intent_runs_nothing),
+    cmocka_unit_test (test_unrepeatable_completes_after_caller_disconnects),
+    cmocka_unit_test (test_late_intent_is_not_run),
     cmocka_unit_test (test_late_intent_with_a_long_body),
-    cmocka_unit_test (test_not_run_is_said_only_when_true),
+    cmocka_unit_test (test_not_run_is_reported_only_when_true),
     cmocka_unit_test (test_late_answers_are_dropped),
-    cmocka_unit_test (test_slow_caller_holds_little_memory),
-    cmocka_unit_test (test_limits_of_customers),
+    cmocka_unit_test (test_slow_caller_memory_is_bounded),
+    cmocka_unit_test (test_customer_limits),
     cmocka_unit_test (test_refusal_keeps_the_connection),
     cmocka_unit_test (test_many_requests_share_connections),
     cmocka_unit_test (test_departure_under_load),
--- a/tests/test_proxy_head.c
+++ b/tests/test_proxy_head.c
@@ -1,4 +1,4 @@
-/* Guards against request smuggling, answers whose end cannot be told, and hop-by-hop fields that
+/* Guards against request smuggling, answers with ambiguous framing, and hop-by-hop fields that
    leak through the proxy.  */
 #include <setjmp.h>
 #include <stdarg.h>
