--- a/src/gen/orders_proto.x
+++ b/src/gen/orders_proto.x
@@ -1,9 +1,9 @@
-/* Orders to workers that another VM calls for the leader, and what became of them. */
+/* Orders to workers that another VM executes for the leader, and their outcomes. */
 
 %#include "workflow_proto.h"
 
-const ORDERS_MOST = 4096;               /* orders, or answers, in one message */
-const ORDERS_MOST_RUNS = 4096;          /* runs that one worker lists */
+const ORDERS_MOST = 4096;               /* orders or answers in one message */
+const ORDERS_MOST_RUNS = 4096;          /* runs in the list of one worker */
 const ORDERS_MOST_ENDS = 4096;
 
 enum worker_order_kind
@@ -20,7 +20,7 @@
   unsigned run;
   string payload<WORKFLOW_PAYLOAD_BYTES>;
   workflow_checkpoint checkpoint;       /* "" is none */
-  hyper deadline_ms;                    /* lease, on the worker's clock */
+  hyper deadline_ms;                    /* end of the lease, on the worker's clock */
 };
 
 struct stop_details
@@ -39,7 +39,7 @@
 struct hold_details
 {
   unsigned hyper acknowledged;
-  hyper deadline_ms;                    /* 0 renews nothing */
+  hyper deadline_ms;                    /* 0: no lease renewal */
   unsigned wait_ms;
 };
 
@@ -57,17 +57,17 @@
 
 struct relayed_order
 {
-  unsigned hyper call;                  /* chosen by the leader, returned with the answer */
+  unsigned hyper call;                  /* id chosen by the leader, returned with the answer */
   workflow_name worker;
   workflow_name address;
   unsigned hyper fence;
   order_details details;
 };
 
-/* The receiver drops orders whose echo is old: they waited in a connection that was cut. */
+/* The receiver drops orders with an old echo: they were held up by a broken connection. */
 struct order_batch
 {
-  unsigned hyper echo;                  /* clock of the receiver's last answers; 0 before any */
+  unsigned hyper echo;                  /* clock in the receiver's last answers; 0 before the first */
   relayed_order orders<ORDERS_MOST>;
 };
 
@@ -102,13 +102,13 @@
 {
   unsigned hyper call;
   unsigned result;                      /* enum worker_call_result */
-  relayed_lists *lists;                 /* of a hold that was answered */
+  relayed_lists *lists;                 /* for a hold that was answered */
 };
 
 struct answer_batch
 {
-  unsigned hyper clock;                 /* of the sender, for the echo */
-  bool stopping;                        /* the sender takes no more orders */
+  unsigned hyper clock;                 /* sender's clock, returned as echo */
+  bool stopping;                        /* the sender accepts no more orders */
   relayed_answer answers<ORDERS_MOST>;
 };
 
--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -44,7 +44,7 @@
 
 /* Workflow: jobs with steps on called workers.  */
 #include "dispatcher.h"       /* pure: what runs where, leases, settled orders */
-#include "leader_place.h"     /* pure: when leadership moves nearer to its quorum */
+#include "leader_placement.h" /* pure: when leadership moves closer to its quorum */
 #include "size_share.h"       /* pure: how often jobs of each size start */
 #include "waiting_order.h"    /* pure: which waiting task goes first */
 #include "harm_model.h"       /* pure: how fill-in images slow serving ones */
--- a/src/workflow/helper_choice.c
+++ b/src/workflow/helper_choice.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* The N-th usable option.  */
+/* Index of the N-th usable option, counted from 0; COUNT if there are fewer.  */
 static size_t
 nth_usable (const struct helper_option *options, size_t count, size_t n)
 {
--- a/src/workflow/helper_choice.h
+++ b/src/workflow/helper_choice.h
@@ -1,15 +1,15 @@
-/* helper_choice: which VM calls a worker for the leader.
+/* helper_choice: selects the VM that calls a worker on behalf of the leader.
 
-   Load pattern: hundreds of workers, a thousand starts a second and as many looks at workers.  The
-   calls take three quarters of the leader's processor (docs/CAPACITY.md, section 8), while the
-   other core VMs are idle.
+   Load pattern: hundreds of workers, 1000 task starts and as many holds per second.
+   Without helpers these calls use three quarters of the leader's CPU (docs/CAPACITY.md, section 8),
+   while the other core VMs are idle.
 
-   A worker is called by a VM of its own data centre, which also saves traffic between data centres:
-   by the leader itself or by a helper there.  Workers of a data centre without a usable helper are
-   spread over all usable helpers and the leader.  Few workers are all called by the leader: one VM
-   less that can fail on the way.
+   A worker is called from its own data centre, by the leader or by a helper there, which also
+   avoids traffic between data centres.  Workers in a data centre without a usable helper are
+   distributed over the leader and all usable helpers.  The leader calls a small set of workers
+   directly, which removes one VM that could fail on the path.
 
-   Pure: no I/O, no time.  */
+   Pure: no I/O, no clock.  */
 
 #ifndef SASSAFRAS_HELPER_CHOICE_H
 #define SASSAFRAS_HELPER_CHOICE_H
@@ -23,11 +23,11 @@
 struct helper_option
 {
   char zone[HELPER_ZONE_BYTES]; /* data centre of the VM */
-  bool usable;                  /* it answers */
+  bool usable;                  /* answers, so it may be given orders */
 };
 
-/* Index of the helper, or COUNT when the leader calls the worker itself.  HASH is of the worker, so
-   that its VM stays the same while the options do.  */
+/* Returns the index of the helper, or COUNT if the leader calls the worker itself.  HASH identifies
+   the worker, so the choice is stable as long as the options do not change.  */
 size_t helper_choose (const struct helper_option *options, size_t count, const char *own_zone,
                       const char *worker_zone, uint64_t hash);
 
--- /dev/null
+++ b/src/workflow/leader_placement.c
@@ -0,0 +1,31 @@
+#include "leader_placement.h"
+
+void
+leader_placement_init (struct leader_placement *p)
+{
+  *p = (struct leader_placement){ .shortest_ms = INT64_MAX,
+                                  .backoff_ms = LEADER_PLACEMENT_BACKOFF_MS };
+}
+
+void
+leader_placement_elected (struct leader_placement *p)
+{
+  p->rounds = 0;
+  p->shortest_ms = INT64_MAX;
+}
+
+bool
+leader_placement_round (struct leader_placement *p, int64_t now_ms, int64_t took_ms)
+{
+  p->rounds++;
+  if (took_ms < p->shortest_ms)
+    p->shortest_ms = took_ms;
+  if (p->rounds < LEADER_PLACEMENT_MIN_ROUNDS || p->shortest_ms < LEADER_PLACEMENT_SLOW_MS
+      || now_ms < p->backoff_until_ms)
+    return false;
+  p->backoff_until_ms = now_ms + p->backoff_ms;
+  p->backoff_ms = 2 * p->backoff_ms < LEADER_PLACEMENT_MAX_BACKOFF_MS
+                      ? 2 * p->backoff_ms
+                      : LEADER_PLACEMENT_MAX_BACKOFF_MS;
+  return true;
+}
--- /dev/null
+++ b/src/workflow/leader_placement.h
@@ -0,0 +1,36 @@
+/* leader_placement: decides when leadership should move closer to the quorum.  Pure.
+
+   Load pattern: short jobs of a few steps, whose latency objective leaves a few hundred
+   milliseconds beyond the run time, with voters in several regions.  Every task start and end waits
+   for a commit, so a leader in another region than its quorum adds a cross-region round trip each.
+
+   A voter cannot measure the distances between other voters.  A leader whose quorum rounds are all
+   slow therefore transfers leadership to the voter whose answer completed the quorum; if one region
+   holds a quorum, that voter is in it.  If no voter is closer, each one tries a transfer once and
+   then backs off, with the back-off doubled after every transfer.  */
+
+#ifndef SASSAFRAS_LEADER_PLACEMENT_H
+#define SASSAFRAS_LEADER_PLACEMENT_H
+
+#include <stdbool.h>
+#include <stdint.h>
+
+#define LEADER_PLACEMENT_MIN_ROUNDS 4           /* rounds measured in a term before a decision */
+#define LEADER_PLACEMENT_SLOW_MS 25             /* users' zones are 1.4 ms apart, regions 30 ms */
+#define LEADER_PLACEMENT_BACKOFF_MS 300000      /* a transfer stops task starts for 1 to 2 s */
+#define LEADER_PLACEMENT_MAX_BACKOFF_MS 3600000 /* upper limit of the back-off */
+
+struct leader_placement
+{
+  unsigned rounds;     /* quorum rounds in this term */
+  int64_t shortest_ms; /* shortest of these rounds */
+  int64_t backoff_ms;  /* back-off after the next transfer */
+  int64_t backoff_until_ms;
+};
+
+void leader_placement_init (struct leader_placement *p);    /* No transfer so far. */
+void leader_placement_elected (struct leader_placement *p); /* This VM became leader. */
+bool leader_placement_round (struct leader_placement *p, int64_t now_ms,
+                             int64_t took_ms); /* A quorum answered; true: transfer now. */
+
+#endif
--- a/src/workflow/leader_relay.c
+++ b/src/workflow/leader_relay.c
@@ -14,11 +14,11 @@
 #define CODE_TOO_MANY 429
 #define CODE_UNAVAILABLE 503
 #define CODE_GATEWAY_TIMEOUT 504
-/* An attempt needs one round trip between regions at least half of the time.  */
-#define LEAST_ATTEMPT_MS 30
-#define ANSWER_SLACK_MS 60 /* for the answer to reach the caller in time */
+/* At least half of all attempts take one round trip between regions.  */
+#define MIN_ATTEMPT_MS 30
+#define ANSWER_MARGIN_MS 60 /* reserved for sending the answer to the caller */
 #define MS_PER_S 1000.0
-#define MOST_REDIRECTS 3 /* VMs that name each other know no leader */
+#define MAX_REDIRECTS 3 /* VMs that redirect to each other know no leader */
 #define URL_BYTES 2048
 #define HEADER_BYTES 512
 
@@ -26,7 +26,7 @@
     = { .name = "sassafras_relay_requests_total", .help = "Requests relayed to the leader." };
 static struct counter repeated
     = { .name = "sassafras_relay_repeats_total", .help = "Attempts after the first." };
-static struct counter given_up
+static struct counter unanswered
     = { .name = "sassafras_relay_given_up_total", .help = "Requests without a leader's answer." };
 static struct histogram relay_times
     = { .name = "sassafras_relay_ms", .help = "Time until the answer of a relayed request." };
@@ -34,24 +34,24 @@
 struct candidate
 {
   char ip[SEEDED_GROUP_IP_BYTES];
-  int64_t avoid_until_ms;
+  int64_t backoff_until_ms;
 };
 
 struct relay_call
 {
   LIST_ENTRY (relay_call) link;
   struct leader_relay *relay;
-  struct http_request *request; /* NULL once it was answered while an attempt is open */
+  struct http_request *request; /* NULL if answered before the current attempt ended */
   int64_t began_ms;
   int64_t deadline_ms;
   unsigned attempts;
   unsigned redirects; /* in a row */
-  bool uncertain;     /* an attempt may have been carried out */
-  bool waiting;       /* for a leader to be known; else an attempt is open */
+  bool may_have_run;  /* an attempt may have been executed */
+  bool waiting;       /* for a leader; otherwise an attempt is in progress */
   char target[SEEDED_GROUP_IP_BYTES];
   char headers[RELAY_MAX_HEADERS + 1][HEADER_BYTES];
   const char *header_list[RELAY_MAX_HEADERS + 2];
-  ev_timer limit; /* when the answer is due at the latest */
+  ev_timer deadline_timer; /* fires when the request has to be answered */
 };
 
 LIST_HEAD (relay_calls, relay_call);
@@ -63,18 +63,18 @@
   struct candidate candidates[RELAY_MAX_CANDIDATES];
   size_t count;
   bool probing;
-  char probed[SEEDED_GROUP_IP_BYTES];
-  size_t next;                        /* candidate to try when no leader is known */
-  char leader[SEEDED_GROUP_IP_BYTES]; /* "": not known */
+  char probe_target[SEEDED_GROUP_IP_BYTES];
+  size_t next;                        /* next candidate to probe when no leader is known */
+  char leader[SEEDED_GROUP_IP_BYTES]; /* "" if unknown */
   int64_t heard_ms;
-  int64_t last_ms; /* no answer may come later */
+  int64_t last_ms; /* upper limit of all deadlines */
   struct relay_calls calls;
-  ev_timer search; /* until the next look for a leader, while requests wait */
+  ev_timer lookup; /* next leader lookup, active while requests wait */
 };
 
-static void attempt (struct relay_call *c);
-static void search (struct leader_relay *r);
-static void on_search (struct ev_loop *loop, ev_timer *w, int events);
+static void start_attempt (struct relay_call *c);
+static void lookup (struct leader_relay *r);
+static void on_lookup (struct ev_loop *loop, ev_timer *w, int events);
 
 static struct candidate *
 find_candidate (struct leader_relay *r, const char *ip)
@@ -105,8 +105,8 @@
   r->heard_ms = INT64_MIN / 2;
   r->last_ms = INT64_MAX;
   LIST_INIT (&r->calls);
-  ev_init (&r->search, on_search);
-  r->search.data = r;
+  ev_init (&r->lookup, on_lookup);
+  r->lookup.data = r;
   for (size_t i = 0; i < config->seed_count; i++)
     add_candidate (r, config->seeds[i]);
   return r;
@@ -115,7 +115,7 @@
 static void
 free_call (struct relay_call *c)
 {
-  ev_timer_stop (c->relay->config.loop, &c->limit);
+  ev_timer_stop (c->relay->config.loop, &c->deadline_timer);
   LIST_REMOVE (c, link);
   free (c);
 }
@@ -125,7 +125,7 @@
 {
   struct relay_call *c;
   http_client_close (r->client);
-  ev_timer_stop (r->config.loop, &r->search);
+  ev_timer_stop (r->config.loop, &r->lookup);
   while ((c = LIST_FIRST (&r->calls)) != NULL)
     free_call (c);
   free (r);
@@ -150,7 +150,7 @@
   http_reply_redirect (req, url);
 }
 
-/* The believed leader unless it has just failed; NULL: not known.  */
+/* The presumed leader, or NULL if it is unknown or has recently failed.  */
 static const char *
 known_leader (struct leader_relay *r, int64_t now_ms)
 {
@@ -161,12 +161,12 @@
       snprintf (r->leader, sizeof r->leader, "%s", known ? ip : "");
     }
   const struct candidate *known = r->leader[0] ? add_candidate (r, r->leader) : NULL;
-  return known && now_ms >= known->avoid_until_ms ? known->ip : NULL;
+  return known && now_ms >= known->backoff_until_ms ? known->ip : NULL;
 }
 
-/* Whom to ask who leads: the believed leader, else the candidates in turn.  */
+/* Target of the next probe: the presumed leader, else the candidates in turn.  */
 static const char *
-choose_probed (struct leader_relay *r, int64_t now_ms)
+choose_probe_target (struct leader_relay *r, int64_t now_ms)
 {
   const char *known = known_leader (r, now_ms);
   if (known)
@@ -174,7 +174,7 @@
   for (size_t i = 0; i < r->count; i++)
     {
       const struct candidate *c = &r->candidates[r->next++ % r->count];
-      if (now_ms >= c->avoid_until_ms)
+      if (now_ms >= c->backoff_until_ms)
         return c->ip;
     }
   return r->count > 0 ? r->candidates[r->next++ % r->count].ip : NULL;
@@ -183,60 +183,61 @@
 static const char *
 ran_text (const struct relay_call *c)
 {
-  return c->uncertain ? "unknown" : "no";
+  return c->may_have_run ? "unknown" : "no";
 }
 
 static void
-give_up (struct relay_call *c, int64_t now_ms)
+fail_call (struct relay_call *c, int64_t now_ms)
 {
-  /* An open attempt may still be carried out.  */
-  c->uncertain = c->uncertain || !c->waiting;
-  counter_add (&given_up, 1);
+  /* An attempt in progress may still be executed.  */
+  c->may_have_run = c->may_have_run || !c->waiting;
+  counter_add (&unanswered, 1);
   log_event (LOG_WARN, "relay-given-up", "path=%s attempts=%u after_ms=%lld last_target=%s ran=%s",
              c->request->path, c->attempts, (long long)(now_ms - c->began_ms), c->target,
              ran_text (c));
-  http_reply_error (c->request, c->uncertain ? STATUS_OUTCOME_UNKNOWN : STATUS_NO_QUORUM,
-                    "no answer of a leader after %u attempts", c->attempts);
+  http_reply_error (c->request, c->may_have_run ? STATUS_OUTCOME_UNKNOWN : STATUS_NO_QUORUM,
+                    "no answer from a leader after %u attempts", c->attempts);
   c->request = NULL;
   if (c->waiting)
     free_call (c);
 }
 
 static void
-on_limit (struct ev_loop *loop, ev_timer *w, int events)
+on_deadline (struct ev_loop *loop, ev_timer *w, int events)
 {
   struct relay_call *c = w->data;
   (void)loop;
   (void)events;
-  give_up (c, clock_now_ms (c->relay->config.clock));
+  fail_call (c, clock_now_ms (c->relay->config.clock));
 }
 
 static int64_t
-earlier (int64_t a, int64_t b)
+min_ms (int64_t a, int64_t b)
 {
   return a < b ? a : b;
 }
 
 static int64_t
-later (int64_t a, int64_t b)
+max_ms (int64_t a, int64_t b)
 {
   return a > b ? a : b;
 }
 
-/* An election is waited for.  Once it has taken too long, a request that no leader can have seen is
-   refused soon, and its caller told when to come back.  One that may have been carried out waits
-   for an answer until its time is up.  */
+/* Requests wait for an election to finish.  If it takes too long, a request that cannot have
+   reached a leader is refused early, with a Retry-After.  A request that may have been executed
+   waits for an answer until its deadline.  */
 static void
-set_limit (struct relay_call *c)
+arm_deadline (struct relay_call *c)
 {
   struct leader_relay *r = c->relay;
   int64_t now_ms = clock_now_ms (r->config.clock);
-  int64_t last_ms = earlier (c->deadline_ms, r->last_ms);
-  if (c->waiting && !c->uncertain)
-    last_ms = earlier (last_ms, later (c->began_ms + RELAY_HOLD_MS, r->heard_ms + RELAY_LOST_MS));
-  ev_timer_stop (r->config.loop, &c->limit);
-  ev_timer_set (&c->limit, (double)later (last_ms - now_ms, 0) / MS_PER_S, 0.0);
-  ev_timer_start (r->config.loop, &c->limit);
+  int64_t last_ms = min_ms (c->deadline_ms, r->last_ms);
+  if (c->waiting && !c->may_have_run)
+    last_ms = min_ms (last_ms,
+                      max_ms (c->began_ms + RELAY_MIN_WAIT_MS, r->heard_ms + RELAY_LEADER_LOST_MS));
+  ev_timer_stop (r->config.loop, &c->deadline_timer);
+  ev_timer_set (&c->deadline_timer, (double)max_ms (last_ms - now_ms, 0) / MS_PER_S, 0.0);
+  ev_timer_start (r->config.loop, &c->deadline_timer);
 }
 
 static void
@@ -244,9 +245,9 @@
 {
   struct leader_relay *r = c->relay;
   c->waiting = true;
-  set_limit (c);
-  if (!ev_is_active (&r->search))
-    search (r);
+  arm_deadline (c);
+  if (!ev_is_active (&r->lookup))
+    lookup (r);
 }
 
 void
@@ -256,18 +257,18 @@
   r->last_ms = last_ms;
   LIST_FOREACH (c, &r->calls, link)
   if (c->request)
-    set_limit (c);
+    arm_deadline (c);
 }
 
 static void
-release_waiting (struct leader_relay *r)
+resume_waiting (struct leader_relay *r)
 {
   struct relay_call *c = LIST_FIRST (&r->calls);
   while (c)
     {
       struct relay_call *next = LIST_NEXT (c, link);
       if (c->waiting)
-        attempt (c);
+        start_attempt (c);
       c = next;
     }
 }
@@ -283,30 +284,30 @@
 }
 
 static void
-note_redirect (struct leader_relay *r, const char *location)
+store_redirect (struct leader_relay *r, const char *location)
 {
   char ip[SEEDED_GROUP_IP_BYTES];
   if (sscanf (location, "http://%15[0-9.]:", ip) == 1)
     snprintf (r->leader, sizeof r->leader, "%s", ip);
 }
 
-/* IP has answered as the leader.  */
+/* Records an answer of IP as the leader.  */
 static void
-note_leader (struct leader_relay *r, const char *ip, int64_t now_ms)
+record_leader (struct leader_relay *r, const char *ip, int64_t now_ms)
 {
   struct candidate *leader = find_candidate (r, ip);
   r->heard_ms = now_ms;
   snprintf (r->leader, sizeof r->leader, "%s", ip);
   if (leader)
-    leader->avoid_until_ms = 0;
+    leader->backoff_until_ms = 0;
 }
 
 static void
-pass_answer (struct relay_call *c, const struct http_answer *a, int64_t now_ms)
+forward_answer (struct relay_call *c, const struct http_answer *a, int64_t now_ms)
 {
   struct leader_relay *r = c->relay;
   char seconds[24];
-  note_leader (r, c->target, now_ms);
+  record_leader (r, c->target, now_ms);
   histogram_add (&relay_times, (double)(now_ms - c->began_ms));
   snprintf (seconds, sizeof seconds, "%ld", a->retry_after_s);
   http_reply_with (c->request, a->code, "application/json", a->body.data, a->body.len,
@@ -314,7 +315,7 @@
   free_call (c);
 }
 
-/* IP does not lead, or no longer.  */
+/* Called when IP is not, or no longer, the leader.  */
 static void
 forget_leader (struct leader_relay *r, const char *ip)
 {
@@ -322,21 +323,21 @@
     r->leader[0] = '\0';
 }
 
-/* IP did not answer.  */
+/* Called when IP did not answer.  */
 static void
-avoid (struct leader_relay *r, const char *ip, int64_t now_ms)
+back_off (struct leader_relay *r, const char *ip, int64_t now_ms)
 {
   struct candidate *target = find_candidate (r, ip);
   if (target)
-    target->avoid_until_ms = now_ms + RELAY_AVOID_MS;
+    target->backoff_until_ms = now_ms + RELAY_BACKOFF_MS;
   forget_leader (r, ip);
 }
 
 static void
-note_failure (struct relay_call *c, const struct http_answer *a, int64_t now_ms)
+record_failure (struct relay_call *c, const struct http_answer *a, int64_t now_ms)
 {
-  c->uncertain = c->uncertain || a->sent;
-  avoid (c->relay, c->target, now_ms);
+  c->may_have_run = c->may_have_run || a->sent;
+  back_off (c->relay, c->target, now_ms);
   log_event (LOG_INFO, "relay-attempt-failed", "path=%s target=%s attempt=%u sent=%d reason=\"%s\"",
              c->request->path, c->target, c->attempts, a->sent, a->status.message);
 }
@@ -347,13 +348,13 @@
   struct relay_call *c = arg;
   struct leader_relay *r = c->relay;
   int64_t now_ms = clock_now_ms (r->config.clock);
-  c->waiting = true; /* no attempt is open */
+  c->waiting = true; /* no attempt is in progress */
   if (!c->request)
     free_call (c);
-  else if (a->code == CODE_REDIRECT && a->location && ++c->redirects < MOST_REDIRECTS)
+  else if (a->code == CODE_REDIRECT && a->location && ++c->redirects < MAX_REDIRECTS)
     {
-      note_redirect (r, a->location);
-      attempt (c);
+      store_redirect (r, a->location);
+      start_attempt (c);
     }
   else if (a->code == CODE_REDIRECT || a->code == CODE_MISDIRECTED)
     {
@@ -363,18 +364,18 @@
     }
   else if (a->code == 0 || !status_ok (&a->status) || a->code == CODE_GATEWAY_TIMEOUT)
     {
-      /* A leader that lost its place says 504: the request may have been carried out.  */
-      note_failure (c, a, now_ms);
-      attempt (c);
+      /* A leader that was deposed answers 504: the request may have been executed.  */
+      record_failure (c, a, now_ms);
+      start_attempt (c);
     }
-  else if (c->uncertain && (a->code == CODE_TOO_MANY || a->code == CODE_UNAVAILABLE))
-    /* The refusal holds for its own attempt only: an earlier one may still be carried out.  */
-    give_up (c, now_ms);
+  else if (c->may_have_run && (a->code == CODE_TOO_MANY || a->code == CODE_UNAVAILABLE))
+    /* The refusal covers its own attempt only; an earlier one may still be executed.  */
+    fail_call (c, now_ms);
   else
-    pass_answer (c, a, now_ms);
+    forward_answer (c, a, now_ms);
 }
 
-/* Escapes what a path may not hold; the server gave it decoded.  */
+/* Percent-encodes PATH, which the server has decoded, and appends it.  */
 static void
 append_path (char *url, size_t size, const char *path)
 {
@@ -388,16 +389,16 @@
 }
 
 static void
-attempt (struct relay_call *c)
+start_attempt (struct relay_call *c)
 {
   struct leader_relay *r = c->relay;
   char url[URL_BYTES];
   int64_t now_ms = clock_now_ms (r->config.clock);
   int64_t left_ms = c->deadline_ms - now_ms;
   const char *target = known_leader (r, now_ms);
-  if (left_ms < LEAST_ATTEMPT_MS)
+  if (left_ms < MIN_ATTEMPT_MS)
     {
-      give_up (c, now_ms);
+      fail_call (c, now_ms);
       return;
     }
   if (!target)
@@ -406,8 +407,8 @@
       return;
     }
   c->waiting = false;
-  set_limit (c);
-  /* A leader that is slow gets longer, not the same request again and again.  */
+  arm_deadline (c);
+  /* Exponential timeout: a slow leader gets more time instead of many repeats.  */
   int64_t limit_ms = (int64_t)RELAY_ATTEMPT_MS << (c->attempts < 3 ? c->attempts : 3);
   counter_add (c->attempts == 0 ? &relayed : &repeated, 1);
   c->attempts++;
@@ -451,69 +452,69 @@
   c->relay = r;
   c->request = req;
   c->began_ms = clock_now_ms (r->config.clock);
-  c->deadline_ms = c->began_ms + budget_ms - ANSWER_SLACK_MS;
+  c->deadline_ms = c->began_ms + budget_ms - ANSWER_MARGIN_MS;
   c->waiting = true;
-  ev_init (&c->limit, on_limit);
-  c->limit.data = c;
+  ev_init (&c->deadline_timer, on_deadline);
+  c->deadline_timer.data = c;
   copy_headers (c);
   LIST_INSERT_HEAD (&r->calls, c, link);
-  attempt (c);
+  start_attempt (c);
 }
 
-/* Load pattern: while nobody leads, or the leader is slow, requests pile up.  One question at a
-   time finds the leader for all of them; each asking for itself would keep the VMs of the group
-   from electing one.  */
+/* Load pattern: requests accumulate while there is no leader or it is slow.  One probe at a time
+   finds the leader for all of them; one probe per request would load the VMs of the group so much
+   that they could not elect a leader.  */
 static void
-go_on_searching (struct leader_relay *r)
+continue_lookup (struct leader_relay *r)
 {
   if (!any_waiting (r))
     return;
   if (known_leader (r, clock_now_ms (r->config.clock)))
-    release_waiting (r);
+    resume_waiting (r);
   else
     {
-      ev_timer_set (&r->search, RELAY_PAUSE_MS / MS_PER_S, 0.0);
-      ev_timer_start (r->config.loop, &r->search);
+      ev_timer_set (&r->lookup, RELAY_PROBE_INTERVAL_MS / MS_PER_S, 0.0);
+      ev_timer_start (r->config.loop, &r->lookup);
     }
 }
 
 static void
-on_search (struct ev_loop *loop, ev_timer *w, int events)
+on_lookup (struct ev_loop *loop, ev_timer *w, int events)
 {
   (void)loop;
   (void)events;
-  search (w->data);
+  lookup (w->data);
 }
 
-/* A VM of the group is told of leaders by the group; another one asks the candidates.  */
+/* Members learn the leader from their group; other VMs probe the candidates.  */
 static void
-search (struct leader_relay *r)
+lookup (struct leader_relay *r)
 {
   if (r->config.leader)
-    go_on_searching (r);
+    continue_lookup (r);
   else
     leader_relay_probe (r, "GET", RELAY_PROBE_PATH);
 }
 
 static void
-on_probed (void *arg, const struct http_answer *a)
+on_probe_answer (void *arg, const struct http_answer *a)
 {
   struct leader_relay *r = arg;
   int64_t now_ms = clock_now_ms (r->config.clock);
   r->probing = false;
   if (a->code == CODE_REDIRECT && a->location)
-    note_redirect (r, a->location);
+    store_redirect (r, a->location);
   else if (a->code == CODE_MISDIRECTED)
-    forget_leader (r, r->probed);
+    forget_leader (r, r->probe_target);
   else if (a->code == 0)
-    avoid (r, r->probed, now_ms);
+    back_off (r, r->probe_target, now_ms);
   else if (a->code == CODE_OK)
     {
-      note_leader (r, r->probed, now_ms);
+      record_leader (r, r->probe_target, now_ms);
       if (r->config.answered)
-        r->config.answered (r->config.arg, r->probed);
+        r->config.answered (r->config.arg, r->probe_target);
     }
-  go_on_searching (r);
+  continue_lookup (r);
 }
 
 void
@@ -521,17 +522,17 @@
 {
   static const char *const headers[] = { RELAY_HEADER ": 1", NULL };
   char url[URL_BYTES];
-  const char *target = choose_probed (r, clock_now_ms (r->config.clock));
+  const char *target = choose_probe_target (r, clock_now_ms (r->config.clock));
   if (r->probing || !target)
     return;
   r->probing = true;
-  snprintf (r->probed, sizeof r->probed, "%s", target);
+  snprintf (r->probe_target, sizeof r->probe_target, "%s", target);
   snprintf (url, sizeof url, "http://%s:%d%s", target, r->config.port, path);
   const struct http_call call = { .method = method,
                                   .url = url,
                                   .headers = headers,
                                   .timeout_ms = RELAY_ATTEMPT_MS,
-                                  .done = on_probed,
+                                  .done = on_probe_answer,
                                   .done_arg = r };
   http_client_send (r->client, &call);
 }
--- a/src/workflow/leader_relay.h
+++ b/src/workflow/leader_relay.h
@@ -1,17 +1,17 @@
-/* leader_relay: brings HTTP requests to the VM that leads, wherever that is, and its answers back.
+/* leader_relay: forwards HTTP requests to the current leader and returns its answers.
 
-   The relay sends a request to the VM it believes to lead.  A VM that does not lead answers 307
-   with the leader's address, or 421 when it knows none; neither has done anything.  While no leader
-   is known requests wait here, and one probe at a time asks the candidates in turn.  Every relayed
-   request must be safe to repeat: an attempt without an answer is made again until the time is up,
-   each with twice the time of the last.
+   A request is sent to the VM that is believed to lead.  A VM that is not the leader answers 307
+   with the leader's address, or 421 if it knows none; in both cases it has not processed the
+   request.  While no leader is known, requests wait here, and one probe at a time asks the
+   candidates in turn.  Every relayed request must be idempotent: an unanswered attempt is repeated
+   until the deadline, each time with twice the timeout of the previous one.
 
-   When the time is up the answer says what is known: 503 with Retry-After when no attempt can have
-   reached a leader, else 504, because the request may have been carried out.  The former comes
-   RELAY_HOLD_MS after the request when no leader has been heard for RELAY_LOST_MS: the caller may
-   come back, and no time of his is lost.
+   At the deadline the status code tells what is known: 503 with Retry-After if no attempt can have
+   reached a leader, else 504, because the request may have been executed.  The 503 is sent after
+   RELAY_MIN_WAIT_MS if no leader has answered for RELAY_LEADER_LOST_MS, so that the caller can
+   retry early instead of waiting for its deadline.
 
-   A candidate that did not answer is tried last for RELAY_AVOID_MS.  */
+   A candidate that did not answer is tried last for RELAY_BACKOFF_MS.  */
 
 #ifndef SASSAFRAS_LEADER_RELAY_H
 #define SASSAFRAS_LEADER_RELAY_H
@@ -27,17 +27,19 @@
 #include "http_server.h"
 #include "seeded_group.h"
 
-#define RELAY_HEADER "Sassafras-Relayed" /* on relayed requests: answer 307 or 421, don't relay */
-/* A leader across regions answers in 150 ms; two attempts fit into the second of a control call. */
+#define RELAY_HEADER                                                                               \
+  "Sassafras-Relayed" /* marks relayed requests: answer 307 or 421, do not relay */
+/* A leader in another region answers in 150 ms; two attempts fit into the 1 s of a control call. */
 #define RELAY_ATTEMPT_MS 450
-#define RELAY_PAUSE_MS 40   /* between probes when nobody leads: an election takes about 1.5 s */
-#define RELAY_LOST_MS 4000  /* without a leader: two elections; then something else is wrong */
-#define RELAY_HOLD_MS 500   /* from then on: ten probes */
-#define RELAY_AVOID_MS 1500 /* a candidate that didn't answer */
-#define RELAY_JOIN_PATH "/v1/join/"   /* and the IP of the VM that asks */
+#define RELAY_PROBE_INTERVAL_MS                                                                    \
+  40 /* between probes without a leader; an election takes about 1.5 s */
+#define RELAY_LEADER_LOST_MS 4000     /* two elections; beyond that another fault is likely */
+#define RELAY_MIN_WAIT_MS 500         /* time for ten probes once the leader counts as lost */
+#define RELAY_BACKOFF_MS 1500         /* for a candidate that did not answer */
+#define RELAY_JOIN_PATH "/v1/join/"   /* followed by the IP of the joining VM */
 #define RELAY_PROBE_PATH "/v1/leader" /* answered 200 by the leader */
 #define RELAY_MAX_CANDIDATES 32
-#define RELAY_MAX_HEADERS 4 /* passed on from the request */
+#define RELAY_MAX_HEADERS 4 /* forwarded from the request */
 
 struct leader_relay;
 
@@ -45,27 +47,28 @@
 {
   struct ev_loop *loop;
   struct clock *clock;
-  const char *own_ip; /* never a target */
-  int port;           /* of the relayed interface on every candidate */
+  const char *own_ip; /* never used as a target */
+  int port;           /* of the relayed interface, the same on every candidate */
   char seeds[SEEDED_GROUP_MAX_SEEDS][SEEDED_GROUP_IP_BYTES];
   size_t seed_count;
-  const char *const *headers; /* names passed on, ended by NULL */
-  /* Fills IP with the leader as this VM knows it; NULL for a VM outside the group.  */
+  const char *const *headers; /* names of forwarded headers, NULL-terminated */
+  /* Stores the leader known to this VM in IP; NULL on a VM outside the group.  */
   bool (*leader) (void *arg, char ip[SEEDED_GROUP_IP_BYTES]);
-  void (*answered) (void *arg, const char *ip); /* IP took a probe, so it leads; may be NULL */
+  void (*answered) (void *arg, const char *ip); /* IP accepted a probe, so it leads; may be NULL */
   void *arg;
 };
 
 struct leader_relay *leader_relay_open (const struct leader_relay_config *config);
-void leader_relay_close (struct leader_relay *r); /* Open requests get no answer. */
+void leader_relay_close (struct leader_relay *r); /* Pending requests are not answered. */
 void leader_relay_send (struct leader_relay *r, struct http_request *req,
                         int64_t budget_ms); /* Answers REQ within BUDGET_MS. */
-void leader_relay_finish_by (struct leader_relay *r,
-                             int64_t last_ms); /* Answers all, also later ones, by LAST_MS. */
+void
+leader_relay_finish_by (struct leader_relay *r,
+                        int64_t last_ms); /* Answers all current and later requests by LAST_MS. */
 void leader_relay_probe (struct leader_relay *r, const char *method,
-                         const char *path); /* A request of this VM's own to the leader. */
-int64_t leader_relay_heard_ms (const struct leader_relay *r); /* Last answer of a leader. */
+                         const char *path); /* Sends a request of this VM to the leader. */
+int64_t leader_relay_heard_ms (const struct leader_relay *r); /* Time of a leader's last answer. */
 void leader_relay_refuse (struct http_request *req, const char *leader_ip,
-                          int port); /* 307 to LEADER_IP, or 421 when it is NULL. */
+                          int port); /* 307 to LEADER_IP, or 421 if it is NULL. */
 
 #endif
--- a/src/workflow/order_exchange.h
+++ b/src/workflow/order_exchange.h
@@ -1,8 +1,8 @@
-/* order_exchange: both ends of orders that one core VM carries out for another, on one VM.
+/* order_exchange: client and server side of the orders that core VMs execute for each other.
 
-   While this VM leads, its orders to workers leave through order_exchange_link: directly or by way
-   of another core VM (order_relay).  While another VM leads, this one carries out what that VM asks
-   (order_server).  Messages between them go over the connections of the seeded group.  */
+   While this VM leads, its orders to workers go through order_exchange_link, directly or via
+   another core VM (order_relay).  While another VM leads, this one executes the orders that the
+   leader sends (order_server).  Messages use the peer connections of the seeded group.  */
 
 #ifndef SASSAFRAS_ORDER_EXCHANGE_H
 #define SASSAFRAS_ORDER_EXCHANGE_H
@@ -18,27 +18,30 @@
 {
   struct clock *clock;
   const char *zone;           /* data centre of this VM */
-  struct worker_link *direct; /* for this VM's own orders */
-  struct worker_link *other;  /* for orders of a leader elsewhere; outcomes: order_server_outcome */
+  struct worker_link *direct; /* for orders of this VM */
+  struct worker_link
+      *other; /* for orders of a remote leader; outcomes go to order_server_outcome */
   orders_send_fn *send;
   void *send_arg;
-  size_t helped_from; /* with fewer workers a leader calls all of them itself */
+  size_t helped_from; /* with fewer workers the leader calls all of them itself */
 };
 
 struct order_exchange *order_exchange_open (const struct order_exchange_config *config);
-void order_exchange_close (struct order_exchange *x); /* After both links. */
+void order_exchange_close (struct order_exchange *x); /* Call after closing both links. */
 struct worker_link *order_exchange_link (struct order_exchange *x);
-struct order_server *order_exchange_server (struct order_exchange *x); /* For OTHER's outcomes. */
+struct order_server *
+order_exchange_server (struct order_exchange *x); /* For the outcomes of config.other. */
 void order_exchange_report_to (struct order_exchange *x, worker_outcome_fn *outcome,
-                               void *arg); /* Outcomes of own orders that went another way. */
+                               void *arg); /* Receives outcomes of relayed orders of this VM. */
 void order_exchange_peer (struct order_exchange *x, uint64_t node, const char *zone,
-                          bool connected); /* The connection to a core VM was made or lost. */
+                          bool connected); /* A core VM connected or disconnected. */
 void order_exchange_receive (struct order_exchange *x, uint64_t from, const void *data,
-                             size_t len);            /* A message of a core VM. */
-void order_exchange_stop (struct order_exchange *x); /* Planned stop: no more orders of others. */
+                             size_t len); /* Handles a message from a core VM. */
+void order_exchange_stop (
+    struct order_exchange *x); /* Planned stop: accept no more orders from leaders. */
 void order_exchange_tick (struct order_exchange *x,
-                          size_t workers);               /* Known while this VM leads, else 0. */
-int64_t order_exchange_flush (struct order_exchange *x); /* At the end of a loop turn: sends what is
-                                                            due; ms until more is, or -1. */
+                          size_t workers); /* WORKERS known while this VM leads, else 0. */
+int64_t order_exchange_flush (struct order_exchange *x); /* Sends what is due, at the end of a loop
+                                                            turn; ms until more is, or -1. */
 
 #endif
--- a/src/workflow/order_relay.c
+++ b/src/workflow/order_relay.c
@@ -11,12 +11,12 @@
 #include "log.h"
 #include "orders_codec.h"
 
-#define MOST_HELPERS 16
-#define HELPER_PROBE_MS 150  /* two probes and a round trip between regions fit below the next */
-#define HELPER_SILENT_MS 600 /* without an answer for so long a helper gets no orders */
-/* A helper gives a call 700 ms beyond its wait; then the answer's way, late timers included.  */
-#define ANSWER_LIMIT_MS 1300
-#define EXPIRE_EVERY_MS 100 /* the limit need not be exact */
+#define MAX_HELPERS 16
+#define HELPER_PROBE_MS 150   /* two and a cross-region round trip fit into the time-out below */
+#define HELPER_TIMEOUT_MS 600 /* a helper that has not answered for this long gets no orders */
+/* 700 ms that a helper allows a call beyond its wait, plus the way back and timer delays.  */
+#define ANSWER_TIMEOUT_MS 1300
+#define EXPIRY_INTERVAL_MS 100 /* the timeout need not be exact */
 
 static struct counter relayed = { .name = "sassafras_orders_relayed_total",
                                   .help = "Orders that a helper was to carry out." };
@@ -27,18 +27,18 @@
 {
   uint64_t node;
   bool connected;
-  bool stopping;    /* it takes no more orders */
-  uint64_t echo;    /* its clock in the last answer; 0 before any */
+  bool stopping;    /* accepts no more orders */
+  uint64_t echo;    /* the helper's clock in its last answer; 0 before the first */
   int64_t heard_ms; /* last answer */
   int64_t sent_ms;  /* last batch */
   struct orders_items items;
 };
 
-/* One order until its answer.  */
-struct open_call
+/* A relayed order that waits for its answer.  */
+struct pending_call
 {
-  struct cell_node node; /* in calls, by hash of the id */
-  TAILQ_ENTRY (open_call) link;
+  struct cell_node node; /* in calls, keyed by id */
+  TAILQ_ENTRY (pending_call) link;
   uint64_t id;
   uint64_t helper;
   worker_order_kind kind;
@@ -51,7 +51,7 @@
   int64_t expires_ms;
 };
 
-TAILQ_HEAD (open_calls, open_call);
+TAILQ_HEAD (pending_calls, pending_call);
 
 struct order_relay
 {
@@ -59,35 +59,35 @@
   struct order_relay_config config;
   worker_outcome_fn *outcome;
   void *outcome_arg;
-  struct helper helpers[MOST_HELPERS];
-  struct helper_option options[MOST_HELPERS]; /* of the helper with the same index */
+  struct helper helpers[MAX_HELPERS];
+  struct helper_option options[MAX_HELPERS]; /* same indices as helpers */
   size_t helper_count;
-  bool helping; /* this VM leads, with many workers */
+  bool helpers_enabled; /* this VM leads with enough workers */
   uint64_t last_id;
   struct cell_map calls;
-  struct open_calls call_list;
-  int64_t expire_next_ms;
+  struct pending_calls call_list;
+  int64_t next_expiry_ms;
 };
 
 static void
-free_call (struct order_relay *r, struct open_call *c)
+free_call (struct order_relay *r, struct pending_call *c)
 {
   cell_map_remove (&r->calls, &c->node);
   TAILQ_REMOVE (&r->call_list, c, link);
   free (c);
 }
 
-static struct open_call *
+static struct pending_call *
 find_call (struct order_relay *r, uint64_t id)
 {
   struct cell_node *n = cell_map_first (&r->calls, cell_hash_id (id));
-  while (n && ((struct open_call *)n)->id != id)
+  while (n && ((struct pending_call *)n)->id != id)
     n = cell_map_next (n);
-  return (struct open_call *)n;
+  return (struct pending_call *)n;
 }
 
 static void
-report (struct order_relay *r, struct open_call *c, enum worker_call_result result,
+report (struct order_relay *r, struct pending_call *c, enum worker_call_result result,
         const struct worker_lists *lists)
 {
   const struct worker_outcome o = { .kind = c->kind,
@@ -114,7 +114,7 @@
 static bool
 is_usable (const struct helper *h, int64_t now_ms)
 {
-  return h->connected && !h->stopping && h->echo != 0 && now_ms - h->heard_ms < HELPER_SILENT_MS;
+  return h->connected && !h->stopping && h->echo != 0 && now_ms - h->heard_ms < HELPER_TIMEOUT_MS;
 }
 
 static void
@@ -122,19 +122,19 @@
 {
   struct buffer message;
   buffer_init (&message);
-  orders_seal_orders (&h->items, h->echo, &message);
+  orders_encode_orders (&h->items, h->echo, &message);
   h->sent_ms = now_ms;
-  /* What was not sent expires like what was not answered.  */
+  /* Orders that were not sent expire like unanswered ones.  */
   if (!r->config.send (r->config.send_arg, h->node, message.data, message.len))
     h->heard_ms = 0;
   buffer_close (&message);
 }
 
-/* The helper for an order to TO; NULL: this VM calls.  */
+/* Selects the helper for an order to TO; NULL if this VM calls the worker itself.  */
 static struct helper *
-choose (struct order_relay *r, const struct worker_address *to)
+choose_helper (struct order_relay *r, const struct worker_address *to)
 {
-  if (!r->helping)
+  if (!r->helpers_enabled)
     return NULL;
   int64_t now_ms = clock_now_ms (r->config.clock);
   for (size_t i = 0; i < r->helper_count; i++)
@@ -144,16 +144,16 @@
   return i < r->helper_count ? &r->helpers[i] : NULL;
 }
 
-static struct open_call *
-open_call (struct order_relay *r, const struct helper *h, const struct worker_address *to,
-           worker_order_kind kind, uint32_t wait_ms)
+static struct pending_call *
+add_call (struct order_relay *r, const struct helper *h, const struct worker_address *to,
+          worker_order_kind kind, uint32_t wait_ms)
 {
-  struct open_call *c = xcalloc (1, sizeof *c);
+  struct pending_call *c = xcalloc (1, sizeof *c);
   c->id = ++r->last_id;
   c->helper = h->node;
   c->kind = kind;
   c->tag = to->tag;
-  c->expires_ms = clock_now_ms (r->config.clock) + wait_ms + ANSWER_LIMIT_MS;
+  c->expires_ms = clock_now_ms (r->config.clock) + wait_ms + ANSWER_TIMEOUT_MS;
   snprintf (c->worker, sizeof c->worker, "%s", to->worker);
   cell_map_add (&r->calls, &c->node, cell_hash_id (c->id));
   TAILQ_INSERT_TAIL (&r->call_list, c, link);
@@ -161,7 +161,7 @@
 }
 
 static void
-add_order (struct order_relay *r, struct helper *h, const struct open_call *c,
+add_order (struct order_relay *r, struct helper *h, const struct pending_call *c,
            const struct worker_address *to, const order_details *details)
 {
   const relayed_order order = { .call = c->id,
@@ -179,7 +179,7 @@
 relay_start (struct worker_link *l, const struct worker_start *o)
 {
   struct order_relay *r = (struct order_relay *)l;
-  struct helper *h = choose (r, &o->to);
+  struct helper *h = choose_helper (r, &o->to);
   if (!h)
     {
       r->config.direct->ops->start (r->config.direct, o);
@@ -191,7 +191,7 @@
                                              .payload = (char *)(uintptr_t)o->payload,
                                              .checkpoint = (char *)(uintptr_t)o->checkpoint,
                                              .deadline_ms = o->deadline_ms };
-  struct open_call *c = open_call (r, h, &o->to, d.kind, 0);
+  struct pending_call *c = add_call (r, h, &o->to, d.kind, 0);
   c->task = o->task;
   c->run = o->run;
   add_order (r, h, c, &o->to, &d);
@@ -201,7 +201,7 @@
 relay_stop (struct worker_link *l, const struct worker_stop *o)
 {
   struct order_relay *r = (struct order_relay *)l;
-  struct helper *h = choose (r, &o->to);
+  struct helper *h = choose_helper (r, &o->to);
   if (!h)
     {
       r->config.direct->ops->stop (r->config.direct, o);
@@ -209,7 +209,7 @@
     }
   order_details d = { .kind = ORDER_STOP };
   d.order_details_u.stop = (stop_details){ .task = o->task, .run = o->run };
-  struct open_call *c = open_call (r, h, &o->to, d.kind, 0);
+  struct pending_call *c = add_call (r, h, &o->to, d.kind, 0);
   c->task = o->task;
   c->run = o->run;
   add_order (r, h, c, &o->to, &d);
@@ -219,7 +219,7 @@
 relay_pace (struct worker_link *l, const struct worker_pace *o)
 {
   struct order_relay *r = (struct order_relay *)l;
-  struct helper *h = choose (r, &o->to);
+  struct helper *h = choose_helper (r, &o->to);
   if (!h)
     {
       r->config.direct->ops->pace (r->config.direct, o);
@@ -227,7 +227,7 @@
     }
   order_details d = { .kind = ORDER_PACE };
   d.order_details_u.pace = (pace_details){ .task = o->task, .run = o->run, .percent = o->percent };
-  struct open_call *c = open_call (r, h, &o->to, d.kind, 0);
+  struct pending_call *c = add_call (r, h, &o->to, d.kind, 0);
   c->task = o->task;
   c->run = o->run;
   c->percent = o->percent;
@@ -238,7 +238,7 @@
 relay_hold (struct worker_link *l, const struct worker_hold *o)
 {
   struct order_relay *r = (struct order_relay *)l;
-  struct helper *h = choose (r, &o->to);
+  struct helper *h = choose_helper (r, &o->to);
   if (!h)
     {
       r->config.direct->ops->hold (r->config.direct, o);
@@ -248,7 +248,7 @@
   d.order_details_u.hold = (hold_details){ .acknowledged = o->acknowledged,
                                            .deadline_ms = o->deadline_ms,
                                            .wait_ms = o->wait_ms };
-  struct open_call *c = open_call (r, h, &o->to, d.kind, o->wait_ms);
+  struct pending_call *c = add_call (r, h, &o->to, d.kind, o->wait_ms);
   c->mark = o->mark;
   add_order (r, h, c, &o->to, &d);
 }
@@ -270,7 +270,7 @@
 void
 order_relay_close (struct order_relay *r)
 {
-  struct open_call *c;
+  struct pending_call *c;
   while ((c = TAILQ_FIRST (&r->call_list)) != NULL)
     free_call (r, c);
   for (size_t i = 0; i < r->helper_count; i++)
@@ -292,14 +292,14 @@
   r->outcome_arg = arg;
 }
 
-/* Ends the open calls of NODE, or those that are due at NOW_MS.  */
+/* Fails the pending calls of NODE and those that have expired at NOW_MS.  */
 static void
-end_calls (struct order_relay *r, uint64_t node, int64_t now_ms)
+fail_calls (struct order_relay *r, uint64_t node, int64_t now_ms)
 {
-  struct open_call *c = TAILQ_FIRST (&r->call_list);
+  struct pending_call *c = TAILQ_FIRST (&r->call_list);
   while (c)
     {
-      struct open_call *next = TAILQ_NEXT (c, link);
+      struct pending_call *next = TAILQ_NEXT (c, link);
       if (c->helper == node || c->expires_ms <= now_ms)
         {
           counter_add (&expired, 1);
@@ -310,7 +310,7 @@
 }
 
 static void
-forget_items (struct helper *h)
+clear_items (struct helper *h)
 {
   h->items.bytes.len = 0;
   h->items.count = 0;
@@ -320,10 +320,10 @@
 order_relay_peer (struct order_relay *r, uint64_t node, const char *zone, bool connected)
 {
   struct helper *h = find_helper (r, node);
-  if (!h && r->helper_count == MOST_HELPERS)
+  if (!h && r->helper_count == MAX_HELPERS)
     {
-      log_event (LOG_WARN, "helper-ignored", "peer=%" PRIu64 " reason=\"%d are known\"", node,
-                 MOST_HELPERS);
+      log_event (LOG_WARN, "helper-ignored",
+                 "peer=%" PRIu64 " reason=\"limit of %d helpers reached\"", node, MAX_HELPERS);
       return;
     }
   if (!h)
@@ -339,16 +339,16 @@
   snprintf (r->options[h - r->helpers].zone, HELPER_ZONE_BYTES, "%s", zone);
   if (connected)
     return;
-  forget_items (h);
-  end_calls (r, node, INT64_MIN);
+  clear_items (h);
+  fail_calls (r, node, INT64_MIN);
 }
 
 static void
-take_answer (struct order_relay *r, const relayed_answer *a)
+handle_answer (struct order_relay *r, const relayed_answer *a)
 {
-  struct open_call *c = find_call (r, a->call);
+  struct pending_call *c = find_call (r, a->call);
   if (!c)
-    return; /* it came after the limit */
+    return; /* the call has expired */
   if (a->result != WORKER_CALL_OK || c->kind != ORDER_HOLD)
     {
       report (r, c, a->result, NULL);
@@ -409,18 +409,18 @@
     log_event (LOG_INFO, usable ? "helper-stops" : "helper-usable", "peer=%" PRIu64 " zone=%s",
                node, r->options[h - r->helpers].zone);
   for (u_int i = 0; i < batch->answers.answers_len; i++)
-    take_answer (r, &batch->answers.answers_val[i]);
+    handle_answer (r, &batch->answers.answers_val[i]);
 }
 
 void
 order_relay_tick (struct order_relay *r, size_t workers)
 {
   int64_t now_ms = clock_now_ms (r->config.clock);
-  r->helping = workers >= r->config.helped_from;
-  if (now_ms < r->expire_next_ms)
+  r->helpers_enabled = workers >= r->config.helped_from;
+  if (now_ms < r->next_expiry_ms)
     return;
-  r->expire_next_ms = now_ms + EXPIRE_EVERY_MS;
-  end_calls (r, 0, now_ms);
+  r->next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
+  fail_calls (r, 0, now_ms);
 }
 
 void
@@ -430,7 +430,7 @@
   for (size_t i = 0; i < r->helper_count; i++)
     {
       struct helper *h = &r->helpers[i];
-      bool probe = r->helping && now_ms - h->sent_ms >= HELPER_PROBE_MS;
+      bool probe = r->helpers_enabled && now_ms - h->sent_ms >= HELPER_PROBE_MS;
       if (h->connected && (h->items.count > 0 || probe))
         send_batch (r, h, now_ms);
     }
--- a/src/workflow/order_relay.h
+++ b/src/workflow/order_relay.h
@@ -1,17 +1,17 @@
-/* order_relay: the leader's link to workers that other core VMs call for it.
+/* order_relay: the leader's worker link that sends orders via other core VMs.
 
-   A struct worker_link in front of the one that calls workers directly.  Each order goes the way
-   that helper_choice names.  A helper (order_server) calls the worker and sends the answer back;
-   all decisions, fences and leases stay with the leader.
+   A struct worker_link in front of the one that calls workers directly; helper_choice selects the
+   route of each order.  A helper (order_server) calls the worker and returns the answer; all
+   decisions, fences and leases remain with the leader.
 
-   An order whose answer does not come in time, or whose helper is lost, ends with
-   WORKER_CALL_UNKNOWN: like any order without an answer, it may have been carried out or may be
-   later.  A helper drops orders that were long on their way, see orders_proto.x.
+   An order without an answer in time, or whose helper is disconnected, ends with
+   WORKER_CALL_UNKNOWN: like any unanswered order it may have been executed or may be executed
+   later.  A helper drops orders that were delayed in transit, see orders_proto.x.
 
    A helper is usable while it answers: the leader sends a batch every HELPER_PROBE_MS, empty if
-   need be, and the helper answers each.
+   there are no orders, and the helper answers each batch.
 
-   Pure but for the clock: messages leave through order_relay_config.send.  */
+   Pure except for the clock: messages are sent through order_relay_config.send.  */
 
 #ifndef SASSAFRAS_ORDER_RELAY_H
 #define SASSAFRAS_ORDER_RELAY_H
@@ -25,7 +25,7 @@
 
 struct order_relay;
 
-/* Sends one message to NODE; false when it surely was not sent.  */
+/* Sends one message to NODE; false if it certainly was not sent.  */
 typedef bool orders_send_fn (void *arg, uint64_t node, const void *data, size_t len);
 
 struct order_relay_config
@@ -39,16 +39,17 @@
 };
 
 struct order_relay *order_relay_open (const struct order_relay_config *config); /* Copies CONFIG. */
-void order_relay_close (struct order_relay *r); /* Open calls end without an outcome. */
+void order_relay_close (struct order_relay *r); /* Pending calls get no outcome. */
 struct worker_link *order_relay_link (struct order_relay *r);
 void order_relay_report_to (struct order_relay *r, worker_outcome_fn *outcome,
-                            void *arg); /* Outcomes of what helpers do; before the first order. */
+                            void *arg); /* For outcomes from helpers; set before the first order. */
 void order_relay_peer (struct order_relay *r, uint64_t node, const char *zone,
-                       bool connected); /* The connection to a core VM was made or lost. */
+                       bool connected); /* A core VM connected or disconnected. */
 void order_relay_receive (struct order_relay *r, uint64_t node,
-                          const answer_batch *batch); /* Answers of a helper. */
+                          const answer_batch *batch); /* Handles answers of a helper. */
 void order_relay_tick (struct order_relay *r,
-                       size_t workers); /* WORKERS that this leader knows, 0 while not leading. */
-void order_relay_flush (struct order_relay *r); /* Sends what waits; at the end of a loop turn. */
+                       size_t workers); /* WORKERS known to this leader, 0 while not leading. */
+void
+order_relay_flush (struct order_relay *r); /* Sends queued orders, at the end of a loop turn. */
 
 #endif
--- a/src/workflow/order_server.c
+++ b/src/workflow/order_server.c
@@ -8,28 +8,28 @@
 #include "log.h"
 #include "orders_codec.h"
 
-#define MOST_LEADERS 4      /* the leader, and earlier ones whose calls are still open */
-#define ANSWERS_GAP_MS 5    /* answers that come within it share a message */
-#define STALE_ORDER_MS 1200 /* below the leader's limit for an answer */
+#define MAX_LEADERS 4         /* the leader, and former ones with pending calls */
+#define ANSWER_INTERVAL_MS 5  /* answers within this time share a message */
+#define MAX_ORDER_AGE_MS 1200 /* below ANSWER_TIMEOUT_MS of the leader */
 
-static struct counter carried_out
+static struct counter executed
     = { .name = "sassafras_orders_for_leader_total", .help = "Orders carried out for a leader." };
 static struct counter dropped = { .name = "sassafras_orders_for_leader_dropped_total",
                                   .help = "Orders dropped because they were long on their way." };
 
-/* Where answers go.  */
-struct asking_leader
+/* A leader that sent orders, and its queued answers.  */
+struct leader_answers
 {
   uint64_t node;   /* 0: unused */
-  bool answer_due; /* a batch came and no answer has left since */
+  bool answer_due; /* a batch has not been answered yet */
   int64_t sent_ms;
   struct orders_items items;
 };
 
-/* One order until its outcome.  */
-struct carried_order
+/* An order that waits for its outcome.  */
+struct pending_order
 {
-  LIST_ENTRY (carried_order) link;
+  LIST_ENTRY (pending_order) link;
   struct order_server *server;
   uint64_t leader;
   uint64_t call;
@@ -39,8 +39,8 @@
 {
   struct order_server_config config;
   bool stopping;
-  struct asking_leader leaders[MOST_LEADERS];
-  LIST_HEAD (, carried_order) open;
+  struct leader_answers leaders[MAX_LEADERS];
+  LIST_HEAD (, pending_order) pending;
 };
 
 struct order_server *
@@ -48,8 +48,8 @@
 {
   struct order_server *s = xcalloc (1, sizeof *s);
   s->config = *config;
-  LIST_INIT (&s->open);
-  for (size_t i = 0; i < MOST_LEADERS; i++)
+  LIST_INIT (&s->pending);
+  for (size_t i = 0; i < MAX_LEADERS; i++)
     orders_items_init (&s->leaders[i].items);
   return s;
 }
@@ -57,13 +57,13 @@
 void
 order_server_close (struct order_server *s)
 {
-  struct carried_order *o;
-  while ((o = LIST_FIRST (&s->open)) != NULL)
+  struct pending_order *o;
+  while ((o = LIST_FIRST (&s->pending)) != NULL)
     {
       LIST_REMOVE (o, link);
       free (o);
     }
-  for (size_t i = 0; i < MOST_LEADERS; i++)
+  for (size_t i = 0; i < MAX_LEADERS; i++)
     orders_items_close (&s->leaders[i].items);
   free (s);
 }
@@ -74,12 +74,12 @@
   s->stopping = true;
 }
 
-/* The entry of NODE, or the one that was used longest ago.  */
-static struct asking_leader *
+/* The entry of NODE; if there is none, reuses the least recently used entry.  */
+static struct leader_answers *
 find_leader (struct order_server *s, uint64_t node)
 {
-  struct asking_leader *oldest = &s->leaders[0];
-  for (size_t i = 0; i < MOST_LEADERS; i++)
+  struct leader_answers *oldest = &s->leaders[0];
+  for (size_t i = 0; i < MAX_LEADERS; i++)
     {
       if (s->leaders[i].node == node)
         return &s->leaders[i];
@@ -93,24 +93,24 @@
 }
 
 static struct worker_address
-address_of (struct order_server *s, uint64_t leader, const relayed_order *from)
+track_order (struct order_server *s, uint64_t leader, const relayed_order *from)
 {
-  struct carried_order *o = xcalloc (1, sizeof *o);
+  struct pending_order *o = xcalloc (1, sizeof *o);
   o->server = s;
   o->leader = leader;
   o->call = from->call;
-  LIST_INSERT_HEAD (&s->open, o, link);
+  LIST_INSERT_HEAD (&s->pending, o, link);
   return (struct worker_address){
     .worker = from->worker, .address = from->address, .zone = "", .fence = from->fence, .tag = o
   };
 }
 
 static void
-carry_out (struct order_server *s, uint64_t leader, const relayed_order *from)
+execute_order (struct order_server *s, uint64_t leader, const relayed_order *from)
 {
   struct worker_link *l = s->config.calls;
-  const struct worker_address to = address_of (s, leader, from);
-  counter_add (&carried_out, 1);
+  const struct worker_address to = track_order (s, leader, from);
+  counter_add (&executed, 1);
   if (from->details.kind == ORDER_START)
     {
       const start_details *d = &from->details.order_details_u.start;
@@ -150,11 +150,11 @@
 order_server_receive (struct order_server *s, uint64_t node, const order_batch *batch)
 {
   int64_t now_ms = clock_now_ms (s->config.clock);
-  struct asking_leader *leader = find_leader (s, node);
+  struct leader_answers *leader = find_leader (s, node);
   u_int count = batch->orders.orders_len;
   int64_t age_ms = now_ms - (int64_t)batch->echo;
   leader->answer_due = true;
-  if (count > 0 && (batch->echo == 0 || age_ms >= STALE_ORDER_MS))
+  if (count > 0 && (batch->echo == 0 || age_ms >= MAX_ORDER_AGE_MS))
     {
       counter_add (&dropped, count);
       log_event (LOG_WARN, "orders-dropped", "leader=%" PRIu64 " orders=%u most_age_ms=%" PRId64,
@@ -162,15 +162,15 @@
       return;
     }
   for (u_int i = 0; i < count; i++)
-    carry_out (s, node, &batch->orders.orders_val[i]);
+    execute_order (s, node, &batch->orders.orders_val[i]);
 }
 
 static void
-send_answers (struct order_server *s, struct asking_leader *leader, int64_t now_ms)
+send_answers (struct order_server *s, struct leader_answers *leader, int64_t now_ms)
 {
   struct buffer message;
   buffer_init (&message);
-  orders_seal_answers (&leader->items, (uint64_t)now_ms, s->stopping, &message);
+  orders_encode_answers (&leader->items, (uint64_t)now_ms, s->stopping, &message);
   leader->answer_due = false;
   leader->sent_ms = now_ms;
   if (!s->config.send (s->config.send_arg, leader->node, message.data, message.len))
@@ -183,8 +183,8 @@
 order_server_outcome (void *arg, int64_t now_ms, const struct worker_outcome *outcome)
 {
   struct order_server *s = arg;
-  struct carried_order *o = outcome->tag;
-  struct asking_leader *leader = find_leader (s, o->leader);
+  struct pending_order *o = outcome->tag;
+  struct leader_answers *leader = find_leader (s, o->leader);
   orders_add_answer (&leader->items, o->call, outcome->result, outcome->lists);
   if (orders_items_full (&leader->items))
     send_answers (s, leader, now_ms);
@@ -197,10 +197,10 @@
 {
   int64_t now_ms = clock_now_ms (s->config.clock);
   int64_t next_ms = -1;
-  for (size_t i = 0; i < MOST_LEADERS; i++)
+  for (size_t i = 0; i < MAX_LEADERS; i++)
     {
-      struct asking_leader *leader = &s->leaders[i];
-      int64_t due_ms = leader->sent_ms + ANSWERS_GAP_MS - now_ms;
+      struct leader_answers *leader = &s->leaders[i];
+      int64_t due_ms = leader->sent_ms + ANSWER_INTERVAL_MS - now_ms;
       if (leader->node == 0 || (leader->items.count == 0 && !leader->answer_due))
         continue;
       if (due_ms <= 0)
--- a/src/workflow/order_server.h
+++ b/src/workflow/order_server.h
@@ -1,11 +1,11 @@
-/* order_server: calls workers for the leader on another VM.
+/* order_server: calls workers on behalf of a leader on another VM.
 
-   Takes batches of orders from an order_relay, carries them out through a struct worker_link and
-   sends the outcomes back in batches.  It decides nothing and keeps nothing but the calls that are
-   open.  Orders that were long on their way are dropped: the leader has counted them as unanswered
-   and resolved them since.
+   Receives batches of orders from an order_relay, executes them through a struct worker_link and
+   returns the outcomes in batches.  It makes no decisions; its only state is the pending calls.
+   Orders that were delayed in transit are dropped: the leader has already counted them as
+   unanswered and resolved them.
 
-   Pure but for the clock: messages leave through order_server_config.send.  */
+   Pure except for the clock: messages are sent through order_server_config.send.  */
 
 #ifndef SASSAFRAS_ORDER_SERVER_H
 #define SASSAFRAS_ORDER_SERVER_H
@@ -21,18 +21,19 @@
 struct order_server_config
 {
   struct clock *clock;
-  struct worker_link *calls; /* its outcomes go to order_server_outcome */
+  struct worker_link *calls; /* must report outcomes to order_server_outcome */
   orders_send_fn *send;
   void *send_arg;
 };
 
 struct order_server *order_server_open (const struct order_server_config *config);
-void order_server_close (struct order_server *s); /* After the link; drops open calls. */
-void order_server_stop (struct order_server *s);  /* Asks leaders for no more orders. */
+void
+order_server_close (struct order_server *s); /* Call after closing the link; drops pending calls. */
+void order_server_stop (struct order_server *s); /* Tells leaders to send no more orders. */
 void order_server_receive (struct order_server *s, uint64_t node,
-                           const order_batch *batch); /* Orders of the leader on NODE. */
-worker_outcome_fn order_server_outcome;               /* Of an order given to the link. */
-int64_t order_server_flush (struct order_server *s);  /* At the end of a loop turn: sends what is
-                                                         due;  ms until more is, or -1. */
+                           const order_batch *batch); /* Executes orders of the leader on NODE. */
+worker_outcome_fn order_server_outcome;               /* Outcome of an order given to the link. */
+int64_t order_server_flush (struct order_server *s);  /* Sends what is due, at the end of a loop
+                                                         turn; ms until more is, or -1. */
 
 #endif
--- a/src/workflow/orders_codec.c
+++ b/src/workflow/orders_codec.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FULL_BYTES (512u * 1024) /* a quarter of what one message may hold */
-#define FULL_ITEMS 1024          /* a quarter likewise */
-#define COUNT_BYTES 4            /* the length of an XDR array */
+#define BATCH_BYTES (512u * 1024) /* a quarter of the maximum message size */
+#define BATCH_ITEMS 1024          /* a quarter of ORDERS_MOST */
+#define COUNT_BYTES 4             /* length word of an XDR array */
 
 void
 orders_items_init (struct orders_items *items)
@@ -23,7 +23,7 @@
 bool
 orders_items_full (const struct orders_items *items)
 {
-  return items->bytes.len >= FULL_BYTES || items->count >= FULL_ITEMS;
+  return items->bytes.len >= BATCH_BYTES || items->count >= BATCH_ITEMS;
 }
 
 static void
@@ -85,8 +85,8 @@
   relayed_lists copy = { 0 };
   if (lists)
     {
-      /* Runs that are left out would count as not there.  */
-      bool whole = lists->running_len <= ORDERS_MOST_RUNS;
+      /* Without lists if runs do not fit: missing runs would count as not running.  */
+      bool fits = lists->running_len <= ORDERS_MOST_RUNS;
       copy.clock_ms = lists->clock_ms;
       copy.born_ms = lists->born_ms;
       copy.complete = lists->complete && lists->ended_len <= ORDERS_MOST_ENDS;
@@ -94,8 +94,8 @@
       copy.running.running_len = copy_running (lists, copy.running.running_val);
       copy.ended.ended_val = xcalloc (lists->ended_len + 1, sizeof (listed_end_row));
       copy.ended.ended_len = copy_ended (lists, copy.ended.ended_val);
-      a.lists = whole ? &copy : NULL;
-      a.result = whole ? result : WORKER_CALL_UNKNOWN;
+      a.lists = fits ? &copy : NULL;
+      a.result = fits ? result : WORKER_CALL_UNKNOWN;
     }
   append (&items->bytes, (xdrproc_t)xdr_relayed_answer, &a);
   items->count++;
@@ -103,9 +103,9 @@
   free (copy.ended.ended_val);
 }
 
-/* HEAD is the message without items: its last word is their number, which is replaced.  */
+/* HEAD is the message without items; its last word, the item count, is overwritten.  */
 static void
-seal (struct orders_items *items, const orders_message *head, struct buffer *out)
+encode_message (struct orders_items *items, const orders_message *head, struct buffer *out)
 {
   XDR xdr;
   append (out, (xdrproc_t)xdr_orders_message, head);
@@ -118,24 +118,25 @@
 }
 
 void
-orders_seal_orders (struct orders_items *items, uint64_t echo, struct buffer *out)
+orders_encode_orders (struct orders_items *items, uint64_t echo, struct buffer *out)
 {
   orders_message head = { .kind = ORDERS_TO_CALL };
   head.orders_message_u.orders.echo = echo;
-  seal (items, &head, out);
+  encode_message (items, &head, out);
 }
 
 void
-orders_seal_answers (struct orders_items *items, uint64_t clock, bool stopping, struct buffer *out)
+orders_encode_answers (struct orders_items *items, uint64_t clock, bool stopping,
+                       struct buffer *out)
 {
   orders_message head = { .kind = ORDERS_ANSWERED };
   head.orders_message_u.answers.clock = clock;
   head.orders_message_u.answers.stopping = stopping;
-  seal (items, &head, out);
+  encode_message (items, &head, out);
 }
 
 static bool
-answer_known (const relayed_answer *a)
+answer_valid (const relayed_answer *a)
 {
   if (a->result > WORKER_CALL_UNKNOWN)
     return false;
@@ -148,15 +149,15 @@
   return true;
 }
 
-/* XDR accepts any integer as an enum.  */
+/* Checks enum values, since XDR accepts any integer as an enum.  */
 static bool
-enums_known (const orders_message *m)
+enums_valid (const orders_message *m)
 {
   if (m->kind != ORDERS_ANSWERED)
     return true;
   const answer_batch *batch = &m->orders_message_u.answers;
   for (u_int i = 0; i < batch->answers.answers_len; i++)
-    if (!answer_known (&batch->answers.answers_val[i]))
+    if (!answer_valid (&batch->answers.answers_val[i]))
       return false;
   return true;
 }
@@ -167,7 +168,7 @@
   XDR xdr;
   memset (out, 0, sizeof *out);
   xdrmem_create (&xdr, (char *)(uintptr_t)data, (u_int)len, XDR_DECODE);
-  bool ok = xdr_orders_message (&xdr, out) && xdr_getpos (&xdr) == len && enums_known (out);
+  bool ok = xdr_orders_message (&xdr, out) && xdr_getpos (&xdr) == len && enums_valid (out);
   xdr_destroy (&xdr);
   if (!ok)
     orders_free (out);
--- a/src/workflow/orders_codec.h
+++ b/src/workflow/orders_codec.h
@@ -1,7 +1,7 @@
-/* orders_codec: messages of orders_proto.x as bytes.
+/* orders_codec: encodes and decodes the messages of orders_proto.x.
 
-   A batch is built item by item, because the strings of an item live only as long as the call that
-   brings them, and sealed when it is sent.  */
+   A batch is encoded item by item, because the strings of an item are valid only during the call
+   that adds it; the message header is added when the batch is sent.  */
 
 #ifndef SASSAFRAS_ORDERS_CODEC_H
 #define SASSAFRAS_ORDERS_CODEC_H
@@ -13,7 +13,7 @@
 #include "buffer.h"
 #include "worker_link.h"
 
-/* Items of one batch that wait to be sent.  */
+/* Encoded items of a batch that has not been sent.  */
 struct orders_items
 {
   struct buffer bytes;
@@ -22,16 +22,16 @@
 
 void orders_items_init (struct orders_items *items);
 void orders_items_close (struct orders_items *items);
-bool orders_items_full (const struct orders_items *items); /* Send before the next item. */
+bool orders_items_full (const struct orders_items *items); /* Send before adding another item. */
 void orders_add_order (struct orders_items *items, const relayed_order *order);
 void orders_add_answer (struct orders_items *items, uint64_t call, enum worker_call_result result,
                         const struct worker_lists *lists); /* LISTS may be NULL. */
-/* The whole message; ITEMS is empty again.  */
-void orders_seal_orders (struct orders_items *items, uint64_t echo, struct buffer *out);
-void orders_seal_answers (struct orders_items *items, uint64_t clock, bool stopping,
-                          struct buffer *out);
+/* Append the complete message to OUT and clear ITEMS.  */
+void orders_encode_orders (struct orders_items *items, uint64_t echo, struct buffer *out);
+void orders_encode_answers (struct orders_items *items, uint64_t clock, bool stopping,
+                            struct buffer *out);
 bool orders_decode (const void *data, size_t len,
-                    orders_message *out); /* False when malformed; else orders_free. */
+                    orders_message *out); /* False if malformed; else release by orders_free. */
 void orders_free (orders_message *message);
 
 #endif
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -5,7 +5,7 @@
 #include <sys/queue.h>
 
 #include "counters.h"
-#include "leader_place.h"
+#include "leader_placement.h"
 #include "log.h"
 
 #define ROUND_EVERY_MS 300 /* quorum rounds while leading: three fit into the authority */
@@ -63,7 +63,7 @@
   bool stopping;
   bool handing_over;         /* no more orders; until another VM leads */
   int64_t hand_over_next_ms; /* next attempt of a move */
-  struct leader_place place;
+  struct leader_placement placement;
   bool round_open;
   int64_t round_began_ms;
   int64_t next_round_ms;
@@ -111,7 +111,7 @@
   s->config = *config;
   STAILQ_INIT (&s->outcomes);
   LIST_INIT (&s->changes);
-  leader_place_init (&s->place);
+  leader_placement_init (&s->placement);
   workflow_init (&s->workflow);
   const struct dispatcher_config dispatcher = { .workflow = &s->workflow,
                                                 .link = config->link,
@@ -187,7 +187,7 @@
              (unsigned long long)group_term (s->group),
              (unsigned long long)group_applied_index (s->group));
   dispatcher_lead (s->dispatcher, now_ms, group_term (s->group));
-  leader_place_gained (&s->place);
+  leader_placement_elected (&s->placement);
 }
 
 static void
@@ -204,15 +204,15 @@
 /* Orders end with a hand-over and are not taken up again in this term: the successor may be elected
    at any time from then on.  */
 static void
-check_place (struct workflow_service *s, int64_t now_ms)
+check_placement (struct workflow_service *s, int64_t now_ms)
 {
   int64_t took_ms = now_ms - s->round_began_ms;
   uint64_t to = group_completed_by (s->group);
-  if (to == 0 || !leader_place_round (&s->place, now_ms, took_ms))
+  if (to == 0 || !leader_placement_round (&s->placement, now_ms, took_ms))
     return;
   log_event (LOG_INFO, "leadership-moves",
              "to=%llu reason=\"rounds of the quorum are slow\" shortest_ms=%lld rounds=%u",
-             (unsigned long long)to, (long long)s->place.shortest_ms, s->place.rounds);
+             (unsigned long long)to, (long long)s->placement.shortest_ms, s->placement.rounds);
   hand_over (s, to);
 }
 
@@ -228,7 +228,7 @@
   if (!s->leading)
     gain (s, clock_now_ms (s->config.clock));
   dispatcher_authority (s->dispatcher, s->round_began_ms + AUTHORITY_MS - AUTHORITY_MARGIN_MS);
-  check_place (s, clock_now_ms (s->config.clock));
+  check_placement (s, clock_now_ms (s->config.clock));
 }
 
 static void
--- a/tests/test_helper_choice.c
+++ b/tests/test_helper_choice.c
@@ -1,6 +1,6 @@
-/* The choice of the VM that calls a worker for the leader.  Guards against workers called across
-   data centres while a helper stands beside them, orders given to a helper that does not answer,
-   and all workers of a data centre without a helper left to the leader.  */
+/* Selection of the VM that calls a worker on behalf of the leader.  Guards against calls across
+   data centres although the worker's own has a helper, against orders to a helper that does not
+   answer, and against the leader calling all workers of a data centre without a helper.  */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -42,9 +42,9 @@
     assert_int_equal (helper_choose (silent, 2, "own", "a", hash), 2);
 }
 
-/* Load: one of six core VMs is lost, and the leader would take its whole data centre over.  */
+/* Load pattern: one of six core VMs is lost; its workers must not all fall to the leader.  */
 static void
-test_data_centre_without_helper_is_spread (void **state)
+test_data_centre_without_helper_is_distributed (void **state)
 {
   const struct helper_option one_lost[] = { { "a", true }, { "b", false }, { "c", true } };
   unsigned count[HELPERS + 1] = { 0 };
@@ -64,7 +64,7 @@
     cmocka_unit_test (test_same_data_centre),
     cmocka_unit_test (test_own_data_centre_is_called_directly),
     cmocka_unit_test (test_silent_helper_gets_no_orders),
-    cmocka_unit_test (test_data_centre_without_helper_is_spread),
+    cmocka_unit_test (test_data_centre_without_helper_is_distributed),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- /dev/null
+++ b/tests/test_leader_placement.c
@@ -0,0 +1,103 @@
+/* Guards against a leader that stays in another region than its quorum, and against endless
+   leadership transfers when no voter is closer to the others.  */
+#include <setjmp.h>
+#include <stdarg.h>
+#include <stddef.h>
+
+#include <cmocka.h>
+
+#include "leader_placement.h"
+
+#define VOTERS 5
+#define ROUND_INTERVAL_MS 300
+
+/* Simulates ten minutes among COUNT voters; a quorum round takes one round trip to the voter that
+   completes the quorum.  Returns the final leader and counts the transfers in MOVES.  */
+static int
+simulate (int count, int latency_ms[VOTERS][VOTERS], int leader, int *moves)
+{
+  struct leader_placement places[VOTERS];
+  for (int i = 0; i < count; i++)
+    leader_placement_init (&places[i]);
+  leader_placement_elected (&places[leader]);
+  *moves = 0;
+  for (int64_t now_ms = 1000; now_ms < 600000; now_ms += ROUND_INTERVAL_MS)
+    {
+      int order[VOTERS] = { 0 };
+      for (int i = 0; i < count; i++)
+        {
+          int at = i;
+          for (; at > 0 && latency_ms[leader][order[at - 1]] > latency_ms[leader][i]; at--)
+            order[at] = order[at - 1];
+          order[at] = i;
+        }
+      int completes = order[count / 2];
+      int64_t took_ms = 2 * (int64_t)latency_ms[leader][completes] + now_ms % 7;
+      if (!leader_placement_round (&places[leader], now_ms, took_ms))
+        continue;
+      leader = completes;
+      leader_placement_elected (&places[leader]);
+      ++*moves;
+    }
+  return leader;
+}
+
+/* The layout of both users: two zones in one region, one zone in another.  */
+static void
+test_leadership_moves_to_the_quorum_region (void **state)
+{
+  int latency_ms[VOTERS][VOTERS] = { { 0, 30, 1 }, { 30, 0, 30 }, { 1, 30, 0 } };
+  int moves;
+  (void)state;
+  assert_int_not_equal (simulate (3, latency_ms, 1, &moves), 1);
+  assert_int_equal (moves, 1);
+  assert_int_equal (simulate (3, latency_ms, 2, &moves), 2);
+  assert_int_equal (moves, 0);
+}
+
+static void
+test_five_voters_choose_the_larger_region (void **state)
+{
+  int latency_ms[VOTERS][VOTERS] = { { 0, 1, 1, 30, 30 },
+                                     { 1, 0, 1, 30, 30 },
+                                     { 1, 1, 0, 30, 30 },
+                                     { 30, 30, 30, 0, 1 },
+                                     { 30, 30, 30, 1, 0 } };
+  int moves;
+  (void)state;
+  assert_true (simulate (5, latency_ms, 4, &moves) < 3);
+  assert_int_equal (moves, 1);
+}
+
+/* One voter in each of three regions: none is closer, and a transfer stops starts for 1 s.  */
+static void
+test_equal_distances_stop_transfers (void **state)
+{
+  int latency_ms[VOTERS][VOTERS] = { { 0, 30, 40 }, { 30, 0, 35 }, { 40, 35, 0 } };
+  int moves;
+  (void)state;
+  simulate (3, latency_ms, 0, &moves);
+  assert_true (moves <= 6);
+}
+
+/* A slow round, for example after packet loss, is no evidence of distance.  */
+static void
+test_fast_rounds_prevent_a_transfer (void **state)
+{
+  struct leader_placement p;
+  (void)state;
+  leader_placement_init (&p);
+  leader_placement_elected (&p);
+  for (int i = 0; i < 100; i++)
+    assert_false (leader_placement_round (&p, 1000 + i * ROUND_INTERVAL_MS, i % 5 == 2 ? 3 : 200));
+}
+
+int
+main (void)
+{
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_leadership_moves_to_the_quorum_region),
+                                      cmocka_unit_test (test_five_voters_choose_the_larger_region),
+                                      cmocka_unit_test (test_equal_distances_stop_transfers),
+                                      cmocka_unit_test (test_fast_rounds_prevent_a_transfer) };
+  return cmocka_run_group_tests (tests, NULL, NULL);
+}
--- a/tests/test_leader_relay.c
+++ b/tests/test_leader_relay.c
@@ -1,6 +1,5 @@
-/* Guards against requests that are lost or answered untruthfully while the leader is silent,
-   unknown or has just changed.  Servers of one process on loopback addresses play the candidates.
- */
+/* Guards against requests that are lost or answered incorrectly while the leader is unresponsive,
+   unknown or has just changed.  HTTP servers on loopback addresses simulate the candidates.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -17,15 +16,15 @@
 #include "log.h"
 
 #define CANDIDATES 3
-#define CONTROL_BUDGET_MS 950 /* callers of control move on after a second */
+#define CONTROL_BUDGET_MS 950 /* callers of the control interface time out after 1 s */
 
 enum behaviour
 {
   ANSWERS,
   SILENT,
   REDIRECTS, /* to the second candidate */
-  KNOWS_NOBODY,
-  REFUSES, /* leads, and takes no more work */
+  NO_LEADER,
+  REFUSES, /* leads but accepts no more work */
 };
 
 struct vm
@@ -33,7 +32,7 @@
   struct fixture *fixture;
   enum behaviour behaviour;
   unsigned probes;
-  unsigned requests; /* of callers */
+  unsigned requests; /* from callers, without probes */
   struct http_server *server;
 };
 
@@ -82,7 +81,7 @@
 }
 
 static struct http_server *
-serve (struct fixture *f, const char *ip, int port, http_handler *handler, void *arg)
+open_server (struct fixture *f, const char *ip, int port, http_handler *handler, void *arg)
 {
   struct status st;
   char address[32];
@@ -113,10 +112,10 @@
     {
       snprintf (config.seeds[i], sizeof config.seeds[i], "127.0.9.%d", i + 1);
       f->vms[i].fixture = f;
-      f->vms[i].server = serve (f, config.seeds[i], f->port, handle_vm, &f->vms[i]);
+      f->vms[i].server = open_server (f, config.seeds[i], f->port, handle_vm, &f->vms[i]);
     }
   f->relay = leader_relay_open (&config);
-  f->front = serve (f, "127.0.9.9", f->port, handle_front, f);
+  f->front = open_server (f, "127.0.9.9", f->port, handle_front, f);
   f->client = http_client_open (f->loop, 0);
   *state = f;
   return 0;
@@ -137,7 +136,7 @@
 }
 
 static void
-send_one (struct fixture *f)
+send_request (struct fixture *f)
 {
   char url[64];
   snprintf (url, sizeof url, "http://127.0.9.9:%d/x", f->port);
@@ -147,112 +146,112 @@
 }
 
 static int
-ask (struct fixture *f)
+request (struct fixture *f)
 {
-  send_one (f);
+  send_request (f);
   ev_run (f->loop, 0);
   log_flush ();
   return f->code;
 }
 
-/* A caller of control waits for one second: a silent leader must not use all of it.  */
+/* A control caller waits for 1 s: an unresponsive leader must not use up all of it.  */
 static void
-test_a_silent_leader_leaves_time_for_the_next (void **state)
+test_unresponsive_leader_leaves_time_for_the_next (void **state)
 {
   struct fixture *f = *state;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = f->vms[i].requests > 0 ? SILENT : ANSWERS;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
 }
 
 static void
-test_redirects_lead_to_the_leader (void **state)
+test_redirects_are_followed_to_the_leader (void **state)
 {
   struct fixture *f = *state;
   f->vms[0].behaviour = REDIRECTS;
   f->vms[2].behaviour = REDIRECTS;
   for (int i = 0; i < 4; i++)
-    assert_int_equal (ask (f), 200);
+    assert_int_equal (request (f), 200);
   assert_int_equal (f->vms[1].requests, 4);
 }
 
-/* Nobody took the request: it has surely not run, and the caller is told when to come back.  */
+/* No VM accepted the request: it has certainly not run, and the caller gets a Retry-After.  */
 static void
-test_without_a_leader_it_has_not_run (void **state)
+test_request_without_leader_gets_503 (void **state)
 {
   struct fixture *f = *state;
   for (int i = 0; i < CANDIDATES; i++)
-    f->vms[i].behaviour = KNOWS_NOBODY;
-  assert_int_equal (ask (f), 503);
+    f->vms[i].behaviour = NO_LEADER;
+  assert_int_equal (request (f), 503);
   assert_true (f->retry_after_s > 0);
 }
 
-/* A silent VM may have carried the request out: 503 would say that it never runs.  */
+/* A VM that did not answer may have executed the request: 503 would claim that it never runs.  */
 static void
-test_an_unanswered_attempt_is_not_called_refused (void **state)
+test_unanswered_attempt_gets_504 (void **state)
 {
   struct fixture *f = *state;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = SILENT;
-  assert_int_equal (ask (f), 504);
+  assert_int_equal (request (f), 504);
 }
 
-/* Silent candidates have seen questions for the leader only.  */
+/* Candidates that never answered have received probes only.  */
 static void
-test_a_request_that_was_never_sent_is_refused (void **state)
+test_request_never_sent_gets_503 (void **state)
 {
   struct fixture *f = *state;
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = SILENT;
-  assert_int_equal (ask (f), 503);
+  assert_int_equal (request (f), 503);
   for (int i = 0; i < CANDIDATES; i++)
     assert_int_equal (f->vms[i].requests, 0);
 }
 
-/* A caller with much time must not wait all of it for a leader that is not there.  */
+/* A caller with a long timeout must not spend all of it waiting for a missing leader.  */
 static void
-test_without_a_leader_the_refusal_comes_early (void **state)
+test_refusal_without_leader_is_early (void **state)
 {
   struct fixture *f = *state;
   f->budget_ms = 20000;
   for (int i = 0; i < CANDIDATES; i++)
-    f->vms[i].behaviour = KNOWS_NOBODY;
+    f->vms[i].behaviour = NO_LEADER;
   int64_t began_ms = clock_now_ms (clock_real ());
-  assert_int_equal (ask (f), 503);
+  assert_int_equal (request (f), 503);
   assert_true (clock_now_ms (clock_real ()) - began_ms < 3000);
   assert_true (f->retry_after_s > 0);
 }
 
-/* A process that ends closes its connections: a caller that was not answered by then never is.  */
+/* A process that exits closes its connections, so callers must be answered before that.  */
 static void
-test_all_are_answered_before_the_process_ends (void **state)
+test_later_requests_are_answered_before_exit (void **state)
 {
   struct fixture *f = *state;
   f->budget_ms = 20000;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = SILENT;
   int64_t began_ms = clock_now_ms (clock_real ());
   leader_relay_finish_by (f->relay, began_ms + 700);
-  assert_int_equal (ask (f), 504);
+  assert_int_equal (request (f), 504);
   assert_true (clock_now_ms (clock_real ()) - began_ms < 1000);
-  assert_int_equal (ask (f), 503);
+  assert_int_equal (request (f), 503);
   assert_true (clock_now_ms (clock_real ()) - began_ms < 1200);
 }
 
-/* The same for a request that was there before the stop.  */
+/* The same for a request that was pending before the stop.  */
 static void
-test_open_requests_are_answered_before_the_process_ends (void **state)
+test_pending_requests_are_answered_before_exit (void **state)
 {
   struct fixture *f = *state;
   f->budget_ms = 20000;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = SILENT;
   int64_t began_ms = clock_now_ms (clock_real ());
-  send_one (f);
+  send_request (f);
   while (clock_now_ms (clock_real ()) - began_ms < 200)
     ev_run (f->loop, EVRUN_NOWAIT);
   leader_relay_finish_by (f->relay, began_ms + 400);
@@ -262,7 +261,7 @@
 }
 
 static void
-lead_again (struct ev_loop *loop, ev_timer *w, int events)
+elect_leader (struct ev_loop *loop, ev_timer *w, int events)
 {
   struct fixture *f = w->data;
   (void)loop;
@@ -270,62 +269,62 @@
   f->vms[0].behaviour = ANSWERS;
 }
 
-/* Refused after 1.5 s, most callers had to come back just before the next leader was elected: fewer
-   of them were served (kmbpu-sched, score 0.79 to 0.60).  */
+/* With a refusal after 1.5 s most callers had to retry just before the next leader was elected, and
+   fewer of them were served (kmbpu-sched, score 0.79 to 0.60).  */
 static void
-test_a_request_waits_for_an_election (void **state)
+test_request_waits_for_an_election (void **state)
 {
   struct fixture *f = *state;
   ev_timer elected;
   f->budget_ms = 3000;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
-    f->vms[i].behaviour = KNOWS_NOBODY;
-  ev_timer_init (&elected, lead_again, 2.0, 0.0);
+    f->vms[i].behaviour = NO_LEADER;
+  ev_timer_init (&elected, elect_leader, 2.0, 0.0);
   elected.data = f;
   ev_timer_start (f->loop, &elected);
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
 }
 
-/* Replays a group without a leader under load: each of many waiting requests asked every VM for
-   itself, and kept the VMs from electing a leader.  */
+/* Reproduces a leaderless group under load: when every waiting request probed all VMs itself, the
+   load kept the VMs from electing a leader.  */
 static void
-test_many_waiting_requests_ask_once (void **state)
+test_waiting_requests_share_one_probe (void **state)
 {
   struct fixture *f = *state;
   for (int i = 0; i < CANDIDATES; i++)
-    f->vms[i].behaviour = KNOWS_NOBODY;
+    f->vms[i].behaviour = NO_LEADER;
   for (int i = 0; i < 40; i++)
-    send_one (f);
-  assert_int_equal (ask (f), 503);
+    send_request (f);
+  assert_int_equal (request (f), 503);
   unsigned probes = 0;
   for (int i = 0; i < CANDIDATES; i++)
     {
       assert_int_equal (f->vms[i].requests, 0);
       probes += f->vms[i].probes;
     }
-  assert_in_range (probes, 1, CONTROL_BUDGET_MS / RELAY_PAUSE_MS);
+  assert_in_range (probes, 1, CONTROL_BUDGET_MS / RELAY_PROBE_INTERVAL_MS);
 }
 
-/* The attempt before the refusal may still be carried out: the refusal must not be passed on, which
-   would say that the request never runs.  */
+/* The attempt before the refusal may still be executed: forwarding the refusal would claim that the
+   request never runs.  */
 static void
-test_a_refusal_after_an_unanswered_attempt_is_not_passed_on (void **state)
+test_refusal_after_unanswered_attempt_gets_504 (void **state)
 {
   struct fixture *f = *state;
-  assert_int_equal (ask (f), 200);
+  assert_int_equal (request (f), 200);
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = f->vms[i].requests > 0 ? SILENT : REFUSES;
-  assert_int_equal (ask (f), 504);
+  assert_int_equal (request (f), 504);
 }
 
 static void
-test_a_refusal_of_the_only_attempt_is_passed_on (void **state)
+test_refusal_of_the_only_attempt_is_forwarded (void **state)
 {
   struct fixture *f = *state;
   for (int i = 0; i < CANDIDATES; i++)
     f->vms[i].behaviour = REFUSES;
-  assert_int_equal (ask (f), 503);
+  assert_int_equal (request (f), 503);
   assert_true (f->retry_after_s > 0);
 }
 
@@ -334,19 +333,18 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[]
-      = { TEST (test_a_silent_leader_leaves_time_for_the_next),
-          TEST (test_redirects_lead_to_the_leader),
-          TEST (test_without_a_leader_it_has_not_run),
-          TEST (test_an_unanswered_attempt_is_not_called_refused),
-          TEST (test_a_request_that_was_never_sent_is_refused),
-          TEST (test_without_a_leader_the_refusal_comes_early),
-          TEST (test_all_are_answered_before_the_process_ends),
-          TEST (test_open_requests_are_answered_before_the_process_ends),
-          TEST (test_a_request_waits_for_an_election),
-          TEST (test_many_waiting_requests_ask_once),
-          TEST (test_a_refusal_after_an_unanswered_attempt_is_not_passed_on),
-          TEST (test_a_refusal_of_the_only_attempt_is_passed_on) };
+  const struct CMUnitTest tests[] = { TEST (test_unresponsive_leader_leaves_time_for_the_next),
+                                      TEST (test_redirects_are_followed_to_the_leader),
+                                      TEST (test_request_without_leader_gets_503),
+                                      TEST (test_unanswered_attempt_gets_504),
+                                      TEST (test_request_never_sent_gets_503),
+                                      TEST (test_refusal_without_leader_is_early),
+                                      TEST (test_later_requests_are_answered_before_exit),
+                                      TEST (test_pending_requests_are_answered_before_exit),
+                                      TEST (test_request_waits_for_an_election),
+                                      TEST (test_waiting_requests_share_one_probe),
+                                      TEST (test_refusal_after_unanswered_attempt_gets_504),
+                                      TEST (test_refusal_of_the_only_attempt_is_forwarded) };
   curl_global_init (CURL_GLOBAL_DEFAULT);
   int failed = cmocka_run_group_tests (tests, NULL, NULL);
   curl_global_cleanup ();
--- a/tests/test_order_relay.c
+++ b/tests/test_order_relay.c
@@ -1,7 +1,7 @@
-/* Orders that another VM carries out for the leader: order_relay, order_server and their codec,
-   joined by a connection that can be cut, slow or silent.  Guards against outcomes that are lost,
-   doubled or given to another order, against old orders carried out after a cut, and against
-   malformed messages.  */
+/* Orders that another VM executes for the leader: order_relay, order_server and their codec over a
+   simulated connection that can be broken, slow or unresponsive.  Guards against outcomes that are
+   lost, duplicated or assigned to another order, against stale orders executed after a broken
+   connection, and against malformed messages.  */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -21,10 +21,10 @@
 
 #define LEADER 1
 #define HELPER 2
-#define MOST 64
+#define MAX_RECORDS 64
 
-/* Orders that reached a worker_link.  */
-struct called
+/* An order that reached a worker_link.  */
+struct recorded_call
 {
   worker_order_kind kind;
   char worker[32];
@@ -40,7 +40,7 @@
 struct fake_link
 {
   struct worker_link link; /* first member: the vtable */
-  struct called calls[MOST];
+  struct recorded_call calls[MAX_RECORDS];
   size_t count;
 };
 
@@ -66,23 +66,23 @@
 struct fixture
 {
   struct manual_clock clock;
-  struct fake_link direct; /* of the leader's VM */
-  struct fake_link remote; /* of the helper's VM */
+  struct fake_link direct; /* on the leader's VM */
+  struct fake_link remote; /* on the helper's VM */
   struct order_relay *relay;
   struct order_server *server;
-  struct message wire[MOST];
+  struct message in_transit[MAX_RECORDS];
   size_t sent;
-  bool cut;
-  struct outcome outcomes[MOST];
+  bool broken;
+  struct outcome outcomes[MAX_RECORDS];
   size_t outcome_count;
 };
 
-static struct called *
-note (struct worker_link *l, worker_order_kind kind, const struct worker_address *to)
+static struct recorded_call *
+record_call (struct worker_link *l, worker_order_kind kind, const struct worker_address *to)
 {
   struct fake_link *f = (struct fake_link *)l;
-  struct called *c = &f->calls[f->count++];
-  assert_true (f->count < MOST);
+  struct recorded_call *c = &f->calls[f->count++];
+  assert_true (f->count < MAX_RECORDS);
   c->kind = kind;
   c->tag = to->tag;
   c->fence = to->fence;
@@ -93,7 +93,7 @@
 static void
 fake_start (struct worker_link *l, const struct worker_start *o)
 {
-  struct called *c = note (l, ORDER_START, &o->to);
+  struct recorded_call *c = record_call (l, ORDER_START, &o->to);
   c->task = o->task;
   c->run = o->run;
   c->deadline_ms = o->deadline_ms;
@@ -103,19 +103,19 @@
 static void
 fake_stop (struct worker_link *l, const struct worker_stop *o)
 {
-  note (l, ORDER_STOP, &o->to)->run = o->run;
+  record_call (l, ORDER_STOP, &o->to)->run = o->run;
 }
 
 static void
 fake_pace (struct worker_link *l, const struct worker_pace *o)
 {
-  note (l, ORDER_PACE, &o->to)->run = o->run;
+  record_call (l, ORDER_PACE, &o->to)->run = o->run;
 }
 
 static void
 fake_hold (struct worker_link *l, const struct worker_hold *o)
 {
-  struct called *c = note (l, ORDER_HOLD, &o->to);
+  struct recorded_call *c = record_call (l, ORDER_HOLD, &o->to);
   c->deadline_ms = o->deadline_ms;
   c->wait_ms = o->wait_ms;
 }
@@ -127,10 +127,10 @@
 fake_send (void *arg, uint64_t node, const void *data, size_t len)
 {
   struct fixture *f = arg;
-  if (f->cut)
+  if (f->broken)
     return false;
-  struct message *m = &f->wire[f->sent++];
-  assert_true (f->sent < MOST);
+  struct message *m = &f->in_transit[f->sent++];
+  assert_true (f->sent < MAX_RECORDS);
   m->to = node;
   buffer_init (&m->bytes);
   buffer_append (&m->bytes, data, len);
@@ -143,7 +143,7 @@
   struct fixture *f = arg;
   struct outcome *out = &f->outcomes[f->outcome_count++];
   (void)now_ms;
-  assert_true (f->outcome_count < MOST);
+  assert_true (f->outcome_count < MAX_RECORDS);
   *out = (struct outcome){
     .kind = o->kind, .run = o->run, .percent = o->percent, .result = o->result
   };
@@ -169,14 +169,14 @@
   orders_free (&decoded);
 }
 
-/* Delivers all that is on the wire, in order.  */
+/* Delivers all messages in transit, in order.  */
 static void
 deliver (struct fixture *f)
 {
   for (size_t i = 0; i < f->sent; i++)
     {
-      deliver_one (f, &f->wire[i]);
-      buffer_close (&f->wire[i].bytes);
+      deliver_one (f, &f->in_transit[i]);
+      buffer_close (&f->in_transit[i].bytes);
     }
   f->sent = 0;
 }
@@ -185,10 +185,10 @@
 advance (struct fixture *f, int64_t ms)
 {
   manual_clock_advance (&f->clock, ms);
-  order_relay_tick (f->relay, MOST);
+  order_relay_tick (f->relay, MAX_RECORDS);
 }
 
-/* One loop turn of both VMs, and what they send arrives.  */
+/* Runs one loop turn of both VMs and delivers their messages.  */
 static void
 turn (struct fixture *f)
 {
@@ -211,7 +211,7 @@
                                             .direct = &f->direct.link,
                                             .send = fake_send,
                                             .send_arg = f,
-                                            .helped_from = MOST };
+                                            .helped_from = MAX_RECORDS };
   const struct order_server_config server
       = { .clock = &f->clock.clock, .calls = &f->remote.link, .send = fake_send, .send_arg = f };
   f->relay = order_relay_open (&relay);
@@ -226,7 +226,7 @@
 close_fixture (struct fixture *f)
 {
   for (size_t i = 0; i < f->sent; i++)
-    buffer_close (&f->wire[i].bytes);
+    buffer_close (&f->in_transit[i].bytes);
   order_relay_close (f->relay);
   order_server_close (f->server);
 }
@@ -251,19 +251,19 @@
   l->ops->start (l, &o);
 }
 
-/* The helper's worker answers its I-th call.  */
+/* Answers the I-th call that the helper made.  */
 static void
 answer (struct fixture *f, size_t i, enum worker_call_result result,
         const struct worker_lists *lists)
 {
-  const struct called *c = &f->remote.calls[i];
+  const struct recorded_call *c = &f->remote.calls[i];
   const struct worker_outcome o
       = { .kind = c->kind, .worker = c->worker, .tag = c->tag, .result = result, .lists = lists };
   order_server_outcome (f->server, clock_now_ms (&f->clock.clock), &o);
 }
 
 static void
-test_order_goes_by_the_helper_and_back (void **state)
+test_order_is_relayed_and_answered (void **state)
 {
   struct fixture f;
   (void)state;
@@ -274,7 +274,7 @@
   assert_int_equal (f.direct.calls[0].run, 4);
   turn (&f);
   assert_int_equal (f.remote.count, 1);
-  const struct called *c = &f.remote.calls[0];
+  const struct recorded_call *c = &f.remote.calls[0];
   assert_int_equal (c->task.job, 5);
   assert_int_equal (c->task.index, 2);
   assert_int_equal (c->run, 3);
@@ -295,7 +295,7 @@
 }
 
 static void
-test_hold_brings_lists_and_mark (void **state)
+test_hold_returns_lists_and_mark (void **state)
 {
   struct fixture f;
   const struct held_run running
@@ -328,9 +328,9 @@
   close_fixture (&f);
 }
 
-/* An order without an answer must end as unknown, once, also when the answer comes later.  */
+/* An unanswered order must end as unknown exactly once, even if an answer arrives later.  */
 static void
-test_silent_helper_leaves_the_order_unknown (void **state)
+test_unanswered_order_ends_as_unknown (void **state)
 {
   struct fixture f;
   (void)state;
@@ -347,7 +347,7 @@
 }
 
 static void
-test_lost_helper_ends_its_orders_at_once (void **state)
+test_disconnected_helper_fails_its_orders_at_once (void **state)
 {
   struct fixture f;
   (void)state;
@@ -362,7 +362,7 @@
 }
 
 static void
-test_helper_that_stops_answering_gets_no_more_orders (void **state)
+test_unresponsive_helper_gets_no_orders (void **state)
 {
   struct fixture f;
   (void)state;
@@ -374,7 +374,7 @@
 }
 
 static void
-test_stopping_helper_gets_no_more_orders (void **state)
+test_stopping_helper_gets_no_orders (void **state)
 {
   struct fixture f;
   (void)state;
@@ -387,9 +387,9 @@
   close_fixture (&f);
 }
 
-/* Orders that waited in a cut connection: the leader has resolved them since.  */
+/* Orders delayed by a broken connection: the leader has already resolved them.  */
 static void
-test_old_orders_are_not_carried_out (void **state)
+test_stale_orders_are_dropped (void **state)
 {
   struct fixture f;
   (void)state;
@@ -410,13 +410,13 @@
   struct fixture f;
   (void)state;
   open_fixture (&f);
-  order_relay_tick (f.relay, MOST - 1);
+  order_relay_tick (f.relay, MAX_RECORDS - 1);
   start (&f, "there", 3);
   assert_int_equal (f.direct.count, 1);
   close_fixture (&f);
 }
 
-/* Bytes of a peer of another version, or damaged ones, must neither crash nor pass for answers.  */
+/* Messages of another version or corrupted ones must neither crash nor be taken for answers.  */
 static void
 test_random_messages_are_refused (void **state)
 {
@@ -441,13 +441,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_order_goes_by_the_helper_and_back),
-    cmocka_unit_test (test_hold_brings_lists_and_mark),
-    cmocka_unit_test (test_silent_helper_leaves_the_order_unknown),
-    cmocka_unit_test (test_lost_helper_ends_its_orders_at_once),
-    cmocka_unit_test (test_helper_that_stops_answering_gets_no_more_orders),
-    cmocka_unit_test (test_stopping_helper_gets_no_more_orders),
-    cmocka_unit_test (test_old_orders_are_not_carried_out),
+    cmocka_unit_test (test_order_is_relayed_and_answered),
+    cmocka_unit_test (test_hold_returns_lists_and_mark),
+    cmocka_unit_test (test_unanswered_order_ends_as_unknown),
+    cmocka_unit_test (test_disconnected_helper_fails_its_orders_at_once),
+    cmocka_unit_test (test_unresponsive_helper_gets_no_orders),
+    cmocka_unit_test (test_stopping_helper_gets_no_orders),
+    cmocka_unit_test (test_stale_orders_are_dropped),
     cmocka_unit_test (test_few_workers_are_called_directly),
     cmocka_unit_test (test_random_messages_are_refused),
   };
