--- a/src/gen/orders_proto.x
+++ b/src/gen/orders_proto.x
@@ -64,10 +64,10 @@
   order_details details;
 };
 
-/* The receiver drops orders with an old echo: they were held up by a broken connection. */
+/* The receiver drops orders with an old echo: a broken connection held them up. */
 struct order_batch
 {
-  unsigned hyper echo;                  /* clock in the receiver's last answers; 0 before the first */
+  unsigned hyper echo;                  /* receiver's clock in its last answers; 0: none yet */
   relayed_order orders<ORDERS_MOST>;
 };
 
--- a/src/gen/workflow_proto.x
+++ b/src/gen/workflow_proto.x
@@ -1,17 +1,17 @@
-/* Commands, results and snapshot of a workflow group: jobs made of steps, run on called workers.
-   Every string and array is bounded here; the codec refuses more.  */
+/* Commands, results and snapshot of a workflow group: jobs with steps that run on called workers.
+   All strings and arrays are bounded here; the codec rejects longer ones.  */
 
 const WORKFLOW_NAME_BYTES = 256;
 const WORKFLOW_PAYLOAD_BYTES = 4000;
 const WORKFLOW_CHECKPOINT_BYTES = 256;
 const WORKFLOW_MAX_STEPS = 64;
-const WORKFLOW_MAX_TASKS = 20000;       /* tasks of one job, over all steps and occurrences */
+const WORKFLOW_MAX_TASKS = 20000;       /* per job, over all steps and occurrences */
 const WORKFLOW_MAX_QUEUES = 8192;
 const WORKFLOW_MAX_POOLS = 1024;
 const WORKFLOW_MAX_ZONES = 64;
 const WORKFLOW_MAX_JOBS = 200000;
-const WORKFLOW_MAX_RUNS = 2;            /* runs of one task at a time: a speculative step has copies */
-const WORKFLOW_DOCUMENT_BYTES = 900000; /* a command stays below PEER_ENTRY_BYTES */
+const WORKFLOW_MAX_RUNS = 2;            /* concurrent runs of a task (speculative copies) */
+const WORKFLOW_DOCUMENT_BYTES = 900000; /* keeps a command below PEER_ENTRY_BYTES */
 const WORKFLOW_MAX_PRUNE = 4096;
 const WORKFLOW_SNAPSHOT_FORMAT = 1;
 
@@ -19,12 +19,12 @@
 typedef string workflow_checkpoint<WORKFLOW_CHECKPOINT_BYTES>;
 
 /* Bits of workflow_step.flags.  */
-const WORKFLOW_STEP_LASTING = 1;        /* runs until the job is cancelled, restarted whenever it ends */
-const WORKFLOW_STEP_FILL = 2;           /* uses processors that other tasks leave unused */
-const WORKFLOW_STEP_SPECULATIVE = 4;    /* copies may run at the same time, the first end counts */
+const WORKFLOW_STEP_LASTING = 1;        /* until the job is cancelled; restarted after every end */
+const WORKFLOW_STEP_FILL = 2;           /* uses CPU time left idle by other tasks */
+const WORKFLOW_STEP_SPECULATIVE = 4;    /* copies may run concurrently; the first end counts */
 const WORKFLOW_STEP_CHECKPOINTING = 8;
-const WORKFLOW_STEP_GANG = 16;          /* tasks run only together */
-const WORKFLOW_STEP_RACK_LOCAL = 32;    /* slower over more than one rack */
+const WORKFLOW_STEP_GANG = 16;          /* tasks run only all together */
+const WORKFLOW_STEP_RACK_LOCAL = 32;    /* slower when spread over several racks */
 
 struct workflow_step
 {
@@ -32,24 +32,24 @@
   unsigned millicores;
   unsigned memory_mb;
   unsigned accelerators;
-  unsigned estimate_ms;                 /* rough run time of a task */
+  unsigned estimate_ms;                 /* estimated run time of a task */
   unsigned flags;
-  unsigned after<WORKFLOW_MAX_STEPS>;   /* earlier steps that must be done */
-  workflow_name required_label;         /* "" is none */
-  workflow_name data_rack;              /* "" is none */
-  workflow_name image;                  /* tasks of one image behave alike; "" is unknown */
-  unsigned max_per_worker;              /* 0 is no limit */
-  unsigned target_ms;                   /* lasting: response times stay below; 0 is none */
-  unsigned max_unavailable;             /* lasting: tasks our actions may keep from work; 0 is none */
+  unsigned after<WORKFLOW_MAX_STEPS>;   /* dependencies: earlier steps that must be done */
+  workflow_name required_label;         /* "": none */
+  workflow_name data_rack;              /* "": none */
+  workflow_name image;                  /* tasks of one image behave alike; "": unknown */
+  unsigned max_per_worker;              /* 0: no limit */
+  unsigned target_ms;                   /* lasting: upper limit of response times; 0: none */
+  unsigned max_unavailable;             /* lasting: tasks we may keep unavailable; 0: none */
 };
 
 struct workflow_spec
 {
-  unsigned hyper id;                    /* chosen by the customer, unique over all queues */
+  unsigned hyper id;                    /* chosen by the customer, unique across all queues */
   workflow_name queue;
   string payload<WORKFLOW_PAYLOAD_BYTES>;
   workflow_step steps<WORKFLOW_MAX_STEPS>;
-  unsigned repetitions;                 /* 0: once, at once */
+  unsigned repetitions;                 /* 0: once, immediately */
   hyper first_start_ms;                 /* Unix time of the first occurrence */
   hyper period_ms;                      /* between occurrences */
 };
@@ -57,22 +57,22 @@
 struct workflow_queue
 {
   workflow_name name;
-  workflow_name host;                   /* of the requests that select it */
+  workflow_name host;                   /* host of the requests that select this queue */
   workflow_name path_prefix;
   workflow_name pool;                   /* workers that run its tasks */
-  unsigned priority;                    /* 0 is first */
+  unsigned priority;                    /* 0: highest */
   unsigned max_attempts;
-  unsigned stretch_milli;               /* objective: stretch x longest chain + target_ms */
+  unsigned stretch_milli;               /* objective: stretch x critical path + target_ms */
   unsigned target_ms;
-  unsigned timeout_ms;                  /* of a request */
-  bool needs_advice;                    /* starts need tickets of an outside service */
+  unsigned timeout_ms;                  /* request timeout */
+  bool needs_advice;                    /* starts need tickets of an external service */
 };
 
 struct workflow_pool
 {
   workflow_name name;
-  bool guards_room;                     /* workers refuse what does not fit */
-  bool standby;                         /* its machines are off */
+  bool guards_room;                     /* workers refuse tasks that do not fit */
+  bool standby;                         /* its machines are powered off */
 };
 
 struct workflow_configuration
@@ -80,7 +80,7 @@
   unsigned hyper revision;              /* 0: none yet */
   workflow_queue queues<WORKFLOW_MAX_QUEUES>;
   workflow_pool pools<WORKFLOW_MAX_POOLS>;
-  opaque document<WORKFLOW_DOCUMENT_BYTES>; /* as the operator sent it */
+  opaque document<WORKFLOW_DOCUMENT_BYTES>; /* as received from the operator */
 };
 
 struct workflow_zone_change
@@ -100,19 +100,19 @@
 struct workflow_place
 {
   workflow_task_ref task;
-  unsigned run;                         /* must be one above the last run */
+  unsigned run;                         /* must be the last run number plus 1 */
   workflow_name worker;
 };
 
 enum workflow_outcome
 {
   WORKFLOW_DONE = 1,
-  WORKFLOW_FAILED = 2,                  /* counts as an attempt */
+  WORKFLOW_FAILED = 2,                  /* counts as a failed attempt */
   WORKFLOW_STOPPED = 3,
-  WORKFLOW_LAPSED = 4,                  /* the worker's lease ran out */
+  WORKFLOW_LAPSED = 4,                  /* the worker's lease expired */
   WORKFLOW_BROKEN = 5,                  /* another member of the gang ended */
-  WORKFLOW_ALONE = 6,                   /* the gang did not come together */
-  WORKFLOW_NOT_STARTED = 7              /* this run never began and never will */
+  WORKFLOW_ALONE = 6,                   /* the gang could not be assembled */
+  WORKFLOW_NOT_STARTED = 7              /* this run has not started and never will */
 };
 
 struct workflow_end
@@ -120,7 +120,7 @@
   workflow_task_ref task;
   unsigned run;
   workflow_outcome outcome;
-  workflow_checkpoint checkpoint;       /* "" keeps the last one */
+  workflow_checkpoint checkpoint;       /* "": keeps the previous one */
 };
 
 enum workflow_command_kind
@@ -149,10 +149,10 @@
 case WORKFLOW_END:
   workflow_end end;
 case WORKFLOW_PRUNE:
-  unsigned hyper prune<WORKFLOW_MAX_PRUNE>; /* jobs that ended long ago */
+  unsigned hyper prune<WORKFLOW_MAX_PRUNE>; /* ids of jobs that ended long ago */
 };
 
-/* Result of a command: a status kind and, for SUBMIT, whether the job was known.  */
+/* Result of a command: a status kind and, for SUBMIT, whether the job already existed.  */
 struct workflow_result
 {
   int status;
--- a/src/workflow/seeded_group.c
+++ b/src/workflow/seeded_group.c
@@ -19,16 +19,16 @@
 #define ADDRESS_BYTES 32
 #define PATH_BYTES 4200
 #define PLAN_TEXT_BYTES 512
-/* Without a leader: an election among members takes longer, but asking does no harm.  */
-#define JOIN_AFTER_MS 1000
-#define JOINING_MS 1500    /* a VM that wants to join asks several times a second */
-#define MAX_FLUSH_ROUNDS 8 /* results of one flush often cause another proposal */
+/* Time without a leader; an election takes longer, but a needless join request does no harm.  */
+#define JOIN_DELAY_MS 1000
+#define JOIN_REQUEST_VALID_MS 1500 /* a joining VM repeats its request several times per second */
+#define MAX_FLUSH_ROUNDS 8         /* the results of a flush often cause further proposals */
 
-struct seen_vm
+struct peer_activity
 {
   uint64_t node;
-  int64_t heard_ms;  /* last time that it counted as answering */
-  int64_t joined_ms; /* its last request to join; 0 for none */
+  int64_t heard_ms;  /* last time it counted as active */
+  int64_t joined_ms; /* last join request; 0 if none */
 };
 
 struct seeded_group
@@ -40,11 +40,11 @@
   struct peer_net *net;
   struct group *group;
   struct member_sync sync;
-  struct seen_vm seen[PEER_MAX_MEMBERS];
-  size_t seen_count;
-  char last_plan[PLAN_TEXT_BYTES]; /* as logged */
-  int64_t led_ms;                  /* since when this VM leads; 0 while it doesn't */
-  int64_t leader_ms;               /* when a leader was last known */
+  struct peer_activity activity[PEER_MAX_MEMBERS];
+  size_t activity_count;
+  char last_plan[PLAN_TEXT_BYTES]; /* as last logged */
+  int64_t leading_since_ms;        /* when this VM became leader; 0 while not leading */
+  int64_t leader_known_ms;         /* last time a leader was known */
 };
 
 static uint64_t
@@ -70,7 +70,7 @@
 }
 
 static void
-tell_peer (struct seeded_group *s, const struct peer_info *peer, bool connected)
+notify_peer_change (struct seeded_group *s, const struct peer_info *peer, bool connected)
 {
   if (s->config.peer)
     s->config.peer (s->config.arg, peer->node, peer->data_centre, connected);
@@ -84,7 +84,7 @@
              (unsigned long long)peer->incarnation);
   if (s->group)
     group_peer_connected (s->group, peer->node);
-  tell_peer (s, peer, true);
+  notify_peer_change (s, peer, true);
 }
 
 static void
@@ -92,7 +92,7 @@
 {
   struct seeded_group *s = arg;
   log_event (LOG_WARN, "peer-lost", "peer=%s", peer->name);
-  tell_peer (s, peer, false);
+  notify_peer_change (s, peer, false);
 }
 
 static void
@@ -180,7 +180,7 @@
   if (!store)
     return -1;
   struct raft_timing timing = raft_default_timing ();
-  /* Learners are few here, and spares: a leader must know which of them answer.  */
+  /* The few learners are spares: the leader must know which of them are reachable.  */
   timing.learner_heartbeat_ms = timing.heartbeat_ms;
   const struct group_config config
       = { .id = GROUP_ID,
@@ -242,9 +242,9 @@
   return s->group;
 }
 
-/* Peers that the log names and the transport does not know yet.  */
+/* Adds members in the log that the transport does not know yet.  */
 static void
-follow_members (struct seeded_group *s)
+add_member_peers (struct seeded_group *s)
 {
   const raft_members *members = group_members (s->group);
   for (u_int i = 0; i < members->members.members_len; i++)
@@ -259,32 +259,32 @@
     }
 }
 
-/* What is known of NODE; added when it is new.  */
-static struct seen_vm *
-find_seen (struct seeded_group *s, uint64_t node, int64_t first_ms)
+/* The activity record of NODE, created if it does not exist.  */
+static struct peer_activity *
+find_activity (struct seeded_group *s, uint64_t node, int64_t first_ms)
 {
-  for (size_t i = 0; i < s->seen_count; i++)
-    if (s->seen[i].node == node)
-      return &s->seen[i];
-  size_t i = s->seen_count < PEER_MAX_MEMBERS ? s->seen_count++ : PEER_MAX_MEMBERS - 1;
-  s->seen[i] = (struct seen_vm){ .node = node, .heard_ms = first_ms };
-  return &s->seen[i];
+  for (size_t i = 0; i < s->activity_count; i++)
+    if (s->activity[i].node == node)
+      return &s->activity[i];
+  size_t i = s->activity_count < PEER_MAX_MEMBERS ? s->activity_count++ : PEER_MAX_MEMBERS - 1;
+  s->activity[i] = (struct peer_activity){ .node = node, .heard_ms = first_ms };
+  return &s->activity[i];
 }
 
 static void
-note_answers (struct seeded_group *s, int64_t now_ms)
+update_activity (struct seeded_group *s, int64_t now_ms)
 {
   struct group_stats stats;
   group_stats (s->group, &stats);
   for (size_t i = 0; i < stats.peers_len; i++)
     {
-      struct seen_vm *seen = find_seen (s, stats.peers[i].node, s->led_ms);
+      struct peer_activity *activity = find_activity (s, stats.peers[i].node, s->leading_since_ms);
       if (stats.peers[i].active)
-        seen->heard_ms = now_ms;
+        activity->heard_ms = now_ms;
     }
 }
 
-/* Members in the log and VMs that have asked to join.  */
+/* Lists the members in the log and the VMs that have requested to join.  */
 static size_t
 list_members (struct seeded_group *s, int64_t now_ms, struct plan_member *out)
 {
@@ -293,19 +293,20 @@
   for (u_int i = 0; i < members->members.members_len; i++)
     {
       const raft_member *m = &members->members.members_val[i];
-      int64_t heard_ms = m->node == s->node ? now_ms : find_seen (s, m->node, s->led_ms)->heard_ms;
+      int64_t heard_ms
+          = m->node == s->node ? now_ms : find_activity (s, m->node, s->leading_since_ms)->heard_ms;
       out[n++] = (struct plan_member){ .node = m->node,
                                        .voter = m->voter,
                                        .silent_ms = now_ms - heard_ms };
     }
-  for (size_t i = 0; i < s->seen_count && n < PEER_MAX_MEMBERS; i++)
-    if (!raft_members_find (members, s->seen[i].node) && s->seen[i].node != s->node
-        && now_ms - s->seen[i].joined_ms < JOINING_MS)
-      out[n++] = (struct plan_member){ .node = s->seen[i].node };
+  for (size_t i = 0; i < s->activity_count && n < PEER_MAX_MEMBERS; i++)
+    if (!raft_members_find (members, s->activity[i].node) && s->activity[i].node != s->node
+        && now_ms - s->activity[i].joined_ms < JOIN_REQUEST_VALID_MS)
+      out[n++] = (struct plan_member){ .node = s->activity[i].node };
   return n;
 }
 
-/* One line for each plan that differs from the last one.  */
+/* Logs a plan only if it differs from the last one.  */
 static void
 log_plan (struct seeded_group *s, const struct plan_member *plan, size_t count)
 {
@@ -333,15 +334,15 @@
   size_t count = 0;
   if (!group_is_leader (s->group))
     {
-      s->led_ms = 0;
+      s->leading_since_ms = 0;
       return;
     }
-  if (s->led_ms == 0)
+  if (s->leading_since_ms == 0)
     {
-      s->led_ms = now_ms;
-      s->seen_count = 0;
+      s->leading_since_ms = now_ms;
+      s->activity_count = 0;
     }
-  note_answers (s, now_ms);
+  update_activity (s, now_ms);
   size_t n = list_members (s, now_ms, plan);
   voter_plan (plan, n);
   log_plan (s, plan, n);
@@ -359,12 +360,12 @@
   if (node == 0)
     return status_set (st, STATUS_BAD_REQUEST, "'%s' is not an IPv4 address", ip);
   if (!group_is_leader (s->group))
-    return status_set (st, STATUS_NOT_LEADER, "this VM does not lead");
+    return status_set (st, STATUS_NOT_LEADER, "this VM is not the leader");
   if (raft_members_find (group_members (s->group), node))
     return 0;
   log_event (LOG_INFO, "join-requested", "peer=%s", ip);
   add_peer (s, ip);
-  find_seen (s, node, now_ms)->joined_ms = now_ms;
+  find_activity (s, node, now_ms)->joined_ms = now_ms;
   return 0;
 }
 
@@ -387,7 +388,7 @@
 bool
 seeded_group_wants_to_join (const struct seeded_group *s)
 {
-  return clock_now_ms (s->config.clock) - s->leader_ms >= JOIN_AFTER_MS;
+  return clock_now_ms (s->config.clock) - s->leader_known_ms >= JOIN_DELAY_MS;
 }
 
 void
@@ -395,10 +396,10 @@
 {
   int64_t now_ms = clock_now_ms (s->config.clock);
   group_tick (s->group, now_ms);
-  follow_members (s);
+  add_member_peers (s);
   sync_members (s, now_ms);
   if (group_leader_node (s->group) != 0)
-    s->leader_ms = now_ms;
+    s->leader_known_ms = now_ms;
 }
 
 bool
--- a/src/workflow/seeded_group.h
+++ b/src/workflow/seeded_group.h
@@ -1,15 +1,15 @@
-/* seeded_group: one replicated group whose members find each other by seed addresses.
+/* seeded_group: a replicated group whose members discover each other through seed addresses.
 
-   A VM is named by its IPv4 address: the text is its peer name, the number its member id, and its
-   peer address is that IP with the peer port, which is the same on all VMs.  So the members in the
-   log are all that is needed to reach them.
+   A VM is identified by its IPv4 address: the text is its peer name, the number its member id, and
+   its peer address is that IP with the peer port, which is the same on all VMs.  The member list in
+   the log is therefore sufficient to connect to all members.
 
-   First start: with FIRST_START and an empty disk the first members are the seeds.  Without
-   FIRST_START and with an empty disk the store joins under a new store id.  A store with content
+   Bootstrap: with FIRST_START and an empty disk the initial members are the seeds.  With an empty
+   disk but without FIRST_START the store joins under a new store id.  A store that is not empty
    ignores the seeds (see group.h).
 
-   While leading it makes a voter of every member: one whose disk was replaced becomes a learner
-   and, once it has caught up, a voter with its new store.  */
+   The leader makes every member a voter: a member whose disk was replaced becomes a learner and,
+   once it has caught up, a voter with its new store.  */
 
 #ifndef SASSAFRAS_SEEDED_GROUP_H
 #define SASSAFRAS_SEEDED_GROUP_H
@@ -33,10 +33,10 @@
 {
   struct ev_loop *loop;
   struct clock *clock;
-  const char *deployment;  /* name that all VMs share */
+  const char *deployment;  /* the same name on all VMs */
   const char *data_centre; /* of this VM */
   const char *ip;          /* of this VM */
-  const char *bind_ip;     /* to listen on; NULL: IP */
+  const char *bind_ip;     /* listen address; NULL: use IP */
   int peer_port;
   char seeds[SEEDED_GROUP_MAX_SEEDS][SEEDED_GROUP_IP_BYTES];
   size_t seed_count;
@@ -44,27 +44,28 @@
   bool first_start;
   struct machine *machine;
   void (*leader_changed) (void *arg);
-  /* Either may be NULL.  */
+  /* Both callbacks may be NULL.  */
   void (*peer) (void *arg, uint64_t node, const char *data_centre,
-                bool connected); /* The connection to a member was made or lost. */
+                bool connected); /* A member connected or disconnected. */
   void (*orders) (void *arg, uint64_t from, const void *data, size_t len); /* See orders_codec.h. */
   void *arg;
 };
 
 struct seeded_group *seeded_group_open (const struct seeded_group_config *config,
-                                        struct status *st); /* NULL and ST on failure. */
+                                        struct status *st); /* NULL and ST set on failure. */
 void seeded_group_close (struct seeded_group *s);
 struct group *seeded_group_group (struct seeded_group *s);
-void seeded_group_tick (struct seeded_group *s);  /* Every 10 to 50 ms. */
-bool seeded_group_flush (struct seeded_group *s); /* True: flush again before blocking. */
+void seeded_group_tick (struct seeded_group *s);  /* Call every 10 to 50 ms. */
+bool seeded_group_flush (struct seeded_group *s); /* True: call again before blocking. */
 bool seeded_group_send_orders (void *seeded_group, uint64_t node, const void *data,
-                               size_t len);                     /* An orders_send_fn. */
-bool seeded_group_wants_to_join (const struct seeded_group *s); /* No leader was heard lately. */
+                               size_t len); /* Implements orders_send_fn. */
+bool
+seeded_group_wants_to_join (const struct seeded_group *s); /* No leader has been known recently. */
 int seeded_group_join (struct seeded_group *s, const char *ip,
-                       struct status *st); /* On the leader: IP becomes a learner. */
+                       struct status *st); /* Leader only: adds IP as a learner. */
 void seeded_group_meet (struct seeded_group *s,
-                        const char *ip); /* IP took our request to join: no stranger. */
+                        const char *ip); /* Adds IP, which accepted a join request, as a peer. */
 bool seeded_group_leader (const struct seeded_group *s,
-                          char ip[SEEDED_GROUP_IP_BYTES]); /* False: not known. */
+                          char ip[SEEDED_GROUP_IP_BYTES]); /* False if unknown. */
 
 #endif
--- a/src/workflow/voter_plan.c
+++ b/src/workflow/voter_plan.c
@@ -1,13 +1,13 @@
 #include "voter_plan.h"
 
-/* The leader's own limit for a follower that answers: raft_timing.quorum_ms.  */
-#define ANSWERS_MS 1900
+/* Limit for an active follower, the same as the leader's raft_timing.quorum_ms.  */
+#define MEMBER_ACTIVE_MS 1900
 
 static struct plan_member *
 find_spare (struct plan_member *members, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (!members[i].voter && !members[i].dropped && members[i].silent_ms < ANSWERS_MS)
+    if (!members[i].voter && !members[i].dropped && members[i].silent_ms < MEMBER_ACTIVE_MS)
       return &members[i];
   return NULL;
 }
@@ -22,13 +22,13 @@
 }
 
 static void
-replace_lost (struct plan_member *members, size_t count)
+replace_lost_voters (struct plan_member *members, size_t count)
 {
   for (size_t i = 0; i < count; i++)
     {
       struct plan_member *m = &members[i];
       struct plan_member *spare = find_spare (members, count);
-      if (!spare || !m->voter || m->silent_ms < VOTER_LOST_MS)
+      if (!spare || !m->voter || m->silent_ms < VOTER_TIMEOUT_MS)
         continue;
       spare->voter = true;
       m->voter = false;
@@ -40,11 +40,11 @@
 drop_lost_learners (struct plan_member *members, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (!members[i].voter && members[i].silent_ms >= LEARNER_LOST_MS)
+    if (!members[i].voter && members[i].silent_ms >= LEARNER_TIMEOUT_MS)
       members[i].dropped = true;
 }
 
-/* Makes a voter of one learner that answers.  */
+/* Promotes one responsive learner to voter.  */
 static bool
 promote (struct plan_member *members, size_t count)
 {
@@ -60,13 +60,13 @@
   size_t spares = 0;
   for (size_t i = 0; i < count; i++)
     members[i].dropped = false;
-  replace_lost (members, count);
+  replace_lost_voters (members, count);
   drop_lost_learners (members, count);
   if (count_voters (members, count) % 2 == 0)
     promote (members, count);
   for (size_t i = 0; i < count; i++)
-    spares += !members[i].voter && members[i].silent_ms < ANSWERS_MS;
-  if (spares >= 2 && count_voters (members, count) + 2 <= VOTER_MOST
+    spares += !members[i].voter && members[i].silent_ms < MEMBER_ACTIVE_MS;
+  if (spares >= 2 && count_voters (members, count) + 2 <= MAX_VOTERS
       && count_voters (members, count) % 2 == 1)
     {
       promote (members, count);
--- a/src/workflow/voter_plan.h
+++ b/src/workflow/voter_plan.h
@@ -1,13 +1,13 @@
-/* voter_plan: which members of a group should vote.  Pure.
+/* voter_plan: decides which members of a group should be voters.  Pure.
 
-   Failure pattern: a VM is gone for good and an empty one comes at another address; nobody tells
-   the group, and a second VM may be lost a few seconds later.
+   Failure pattern: a VM is lost permanently and an empty one appears at another address; the group
+   is not notified, and a second VM may fail a few seconds later.
 
-   Rules, each only with a replacement that answers, so that voters are never given up for nothing:
-   a voter that has been silent for VOTER_LOST_MS is dropped for a learner that answers; an even
-   number of voters gets one more; two learners join an odd number of voters below VOTER_MOST; a
-   learner that has been silent for LEARNER_LOST_MS is dropped.  A voter whose disk was replaced is
-   handled by member_sync.  A VM that was dropped asks to join again when it hears no leader.  */
+   A voter is removed only if a responsive replacement exists, so that no vote is lost needlessly.
+   Rules: a voter silent for VOTER_TIMEOUT_MS is replaced by a responsive learner; an even number of
+   voters gets one more; two learners are promoted if the number of voters is odd and below
+   MAX_VOTERS; a learner silent for LEARNER_TIMEOUT_MS is removed.  member_sync handles a voter
+   whose disk was replaced.  A removed VM requests to join again when it knows no leader.  */
 
 #ifndef SASSAFRAS_VOTER_PLAN_H
 #define SASSAFRAS_VOTER_PLAN_H
@@ -16,19 +16,19 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Beyond the 1.9 s after which a follower counts as silent: a successor has 4 s.  */
-#define VOTER_LOST_MS 900
-#define LEARNER_LOST_MS 30000
-#define VOTER_MOST 5 /* two of five may be lost; more voters only make commits slower */
+/* Beyond the 1.9 s after which a follower is inactive: a replacement must join within 4 s.  */
+#define VOTER_TIMEOUT_MS 900
+#define LEARNER_TIMEOUT_MS 30000
+#define MAX_VOTERS 5 /* two of five may fail; more voters only slow commits down */
 
 struct plan_member
 {
   uint64_t node;
-  bool voter;        /* in: now; out: as planned */
+  bool voter;        /* in: current role; out: planned role */
   bool dropped;      /* out: to be removed */
-  int64_t silent_ms; /* since it last counted as answering; 0 for this VM */
+  int64_t silent_ms; /* time since it was last active; 0 for this VM */
 };
 
-void voter_plan (struct plan_member *members, size_t count); /* Fills voter and dropped. */
+void voter_plan (struct plan_member *members, size_t count); /* Sets voter and dropped. */
 
 #endif
--- a/src/workflow/workflow.c
+++ b/src/workflow/workflow.c
@@ -1,4 +1,4 @@
-/* Lookups, checks and commands of a workflow.  */
+/* Lookup, validation and encoding of workflow state and commands.  */
 #include "workflow.h"
 
 #include <stdlib.h>
@@ -142,8 +142,8 @@
 {
   uint64_t tasks = 0;
   if (spec->steps.steps_len == 0 || spec->steps.steps_len > WORKFLOW_MAX_STEPS)
-    return status_set (st, STATUS_BAD_REQUEST, "%u steps, allowed are 1 to %d",
-                       spec->steps.steps_len, WORKFLOW_MAX_STEPS);
+    return status_set (st, STATUS_BAD_REQUEST, "%u steps, allowed: 1 to %d", spec->steps.steps_len,
+                       WORKFLOW_MAX_STEPS);
   for (u_int i = 0; i < spec->steps.steps_len; i++)
     {
       if (check_step (spec, i, st) < 0)
@@ -167,7 +167,7 @@
 }
 
 static int
-compare_places (const void *a, const void *b)
+compare_routes (const void *a, const void *b)
 {
   const workflow_queue *x = *(const workflow_queue *const *)a;
   const workflow_queue *y = *(const workflow_queue *const *)b;
@@ -213,7 +213,7 @@
       if (q->timeout_ms == 0)
         return status_set (st, STATUS_INVALID_LIST, "queue '%s' has a timeout of 0 ms", q->name);
     }
-  if (check_unique (c, "host and path", compare_places, st) < 0)
+  if (check_unique (c, "host and path", compare_routes, st) < 0)
     return -1;
   return check_unique (c, "name", compare_queue_names, st);
 }
--- a/src/workflow/workflow_apply.c
+++ b/src/workflow/workflow_apply.c
@@ -1,4 +1,4 @@
-/* Applying committed commands.  */
+/* Applies committed commands.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -11,7 +11,7 @@
 }
 
 static bool
-stage_may_run (const struct workflow_job *j, uint32_t occurrence, uint32_t step)
+stage_is_ready (const struct workflow_job *j, uint32_t occurrence, uint32_t step)
 {
   const workflow_step *s = &j->spec.steps.steps_val[step];
   const struct workflow_stage *stages = &j->stages[(size_t)occurrence * j->spec.steps.steps_len];
@@ -40,11 +40,11 @@
 update_stage (struct workflow *w, struct workflow_job *j, uint32_t occurrence, uint32_t step)
 {
   struct workflow_stage *stage = &j->stages[(size_t)occurrence * j->spec.steps.steps_len + step];
-  bool may_run = j->state == WORKFLOW_JOB_OPEN && stage_may_run (j, occurrence, step);
+  bool is_ready = j->state == WORKFLOW_JOB_OPEN && stage_is_ready (j, occurrence, step);
   for (uint32_t i = 0; i < j->spec.steps.steps_val[step].count; i++)
     {
       struct workflow_task *t = &stage->tasks[i];
-      set_ready (w, t, may_run && t->state == WORKFLOW_TASK_WAITING);
+      set_ready (w, t, is_ready && t->state == WORKFLOW_TASK_WAITING);
     }
 }
 
@@ -56,7 +56,7 @@
       update_stage (w, j, k, s);
 }
 
-/* Steps that wait for the one that has just been done.  */
+/* Updates the steps that may depend on STEP, which has just completed.  */
 static void
 update_dependents (struct workflow *w, struct workflow_job *j, uint32_t occurrence, uint32_t step)
 {
@@ -188,7 +188,7 @@
 }
 
 static bool
-may_place (const struct workflow_task *t)
+can_place (const struct workflow_task *t)
 {
   if (t->job->state != WORKFLOW_JOB_OPEN)
     return false;
@@ -208,7 +208,7 @@
       return;
     }
   struct workflow_run *run = NULL;
-  if (p->run == t->last_run + 1 && may_place (t))
+  if (p->run == t->last_run + 1 && can_place (t))
     run = workflow_add_run (w, t, p->run, p->worker);
   if (!run)
     {
@@ -239,15 +239,15 @@
 }
 
 static uint32_t
-attempts_of (const struct workflow *w, struct workflow_job *j)
+max_attempts_of (const struct workflow *w, struct workflow_job *j)
 {
   const workflow_queue *q = workflow_queue_of (w, j);
   return q && q->max_attempts > 0 ? q->max_attempts : 1;
 }
 
-/* The task after a run of it ended and was removed.  */
+/* Updates the state of T after a run of it ended and was removed.  */
 static void
-settle_task (struct workflow *w, struct workflow_task *t, enum workflow_outcome outcome)
+update_task (struct workflow *w, struct workflow_task *t, enum workflow_outcome outcome)
 {
   if (t->state == WORKFLOW_TASK_DONE || t->state == WORKFLOW_TASK_FAILED)
     return;
@@ -258,7 +258,7 @@
     }
   if (outcome == WORKFLOW_FAILED)
     t->failures++;
-  if (outcome == WORKFLOW_FAILED && !is_lasting (t) && t->failures >= attempts_of (w, t->job))
+  if (outcome == WORKFLOW_FAILED && !is_lasting (t) && t->failures >= max_attempts_of (w, t->job))
     {
       t->state = WORKFLOW_TASK_FAILED;
       workflow_set_job_state (w, t->job, WORKFLOW_JOB_FAILED);
@@ -270,10 +270,9 @@
   set_ready (w, t, t->job->state == WORKFLOW_JOB_OPEN);
 }
 
-/* A run that counted as lapsed had been done before: its end stands, and no run is needed any more.
- */
+/* Accepts a DONE end of a run that had been marked as lapsed: the task needs no further run.  */
 static bool
-take_late_end (struct workflow *w, struct workflow_task *t, const workflow_end *e)
+accept_late_end (struct workflow *w, struct workflow_task *t, const workflow_end *e)
 {
   bool open = t->job->state == WORKFLOW_JOB_OPEN
               && (t->state == WORKFLOW_TASK_WAITING || t->state == WORKFLOW_TASK_PLACED);
@@ -293,7 +292,7 @@
   struct workflow_run *run = t ? workflow_find_run (t, e->run) : NULL;
   if (!run)
     {
-      if (!t || !take_late_end (w, t, e))
+      if (!t || !accept_late_end (w, t, e))
         r->status = t ? STATUS_STALE_EPOCH : STATUS_NOT_FOUND;
       return;
     }
@@ -307,7 +306,7 @@
   if (w->observer.ended)
     w->observer.ended (w->observer.arg, run, e->outcome);
   remove_run (w, run);
-  settle_task (w, t, e->outcome);
+  update_task (w, t, e->outcome);
 }
 
 static void
@@ -403,9 +402,9 @@
   return j->occurrences * j->spec.steps.steps_len;
 }
 
-/* Steps wait for earlier ones only, so one pass from the last step is enough.  */
+/* Steps depend on earlier steps only, so a single pass from the last step suffices.  */
 static void
-measure_chains (struct workflow_job *j)
+compute_critical_path (struct workflow_job *j)
 {
   u_int count = j->spec.steps.steps_len;
   j->remain_ms = xcalloc (count, sizeof *j->remain_ms);
@@ -431,7 +430,7 @@
   j->spec = *spec;
   memset (spec, 0, sizeof *spec);
   j->occurrences = j->spec.repetitions > 0 ? j->spec.repetitions : 1;
-  measure_chains (j);
+  compute_critical_path (j);
   j->stages = xcalloc (stage_count (j), sizeof *j->stages);
   for (uint32_t i = 0; i < stage_count (j); i++)
     {
--- a/src/workflow/workflow_internal.h
+++ b/src/workflow/workflow_internal.h
@@ -1,4 +1,4 @@
-/* workflow_internal: shared by the workflow*.c files of the state machine only.  */
+/* workflow_internal: private interface between the workflow*.c files of the state machine.  */
 
 #ifndef SASSAFRAS_WORKFLOW_INTERNAL_H
 #define SASSAFRAS_WORKFLOW_INTERNAL_H
@@ -6,12 +6,12 @@
 #include "workflow.h"
 
 struct workflow_job *workflow_add_job (struct workflow *w,
-                                       workflow_spec *spec); /* Takes SPEC's content. */
+                                       workflow_spec *spec); /* Moves SPEC's content. */
 void workflow_free_job (struct workflow *w, struct workflow_job *j);
-void workflow_free_all (struct workflow *w); /* Jobs, zones and configuration. */
+void workflow_free_all (struct workflow *w); /* Frees jobs, zones and configuration. */
 struct workflow_run *workflow_add_run (struct workflow *w, struct workflow_task *t, uint32_t run,
                                        const char *worker);
-void workflow_update_ready (struct workflow *w, struct workflow_job *j); /* After a change of J. */
+void workflow_update_ready (struct workflow *w, struct workflow_job *j); /* Call after J changed. */
 void workflow_set_job_state (struct workflow *w, struct workflow_job *j,
                              enum workflow_job_state state);
 void workflow_set_zone (struct workflow *w, const char *zone, bool out);
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -8,21 +8,21 @@
 #include "leader_placement.h"
 #include "log.h"
 
-#define ROUND_EVERY_MS 300 /* quorum rounds while leading: three fit into the authority */
-/* No voter elects another leader this soon after a round began: 1.3 s, less a margin.  */
+#define ROUND_INTERVAL_MS 300 /* quorum rounds of a leader; three per AUTHORITY_MS */
+/* Voters elect no other leader within 1.3 s after the start of a round; less a margin.  */
 #define AUTHORITY_MS 1100
-#define AUTHORITY_MARGIN_MS 100 /* timers of voters and of this VM run late */
+#define AUTHORITY_MARGIN_MS 100 /* timer delays of the voters and of this VM */
 
-#define MOVE_RETRY_MS 1500 /* the successor did not take over; as long as an election takes */
+#define TRANSFER_RETRY_MS 1500 /* if the target did not take over; the duration of an election */
 
 static struct histogram change_times
     = { .name = "sassafras_workflow_change_ms", .help = "Time from a change to its outcome." };
 static struct histogram read_times
     = { .name = "sassafras_workflow_read_ms", .help = "Time to confirm leadership for a read." };
-static struct counter gained
+static struct counter elections_won
     = { .name = "sassafras_workflow_leaderships_total", .help = "Times this VM became leader." };
 
-/* A command of the dispatcher until its outcome is known.  */
+/* A command proposed by the dispatcher whose outcome is pending.  */
 struct proposal
 {
   STAILQ_ENTRY (proposal) link; /* in outcomes */
@@ -33,17 +33,17 @@
 
 STAILQ_HEAD (proposals, proposal);
 
-struct change
+struct pending_change
 {
-  LIST_ENTRY (change) link;
+  LIST_ENTRY (pending_change) link;
   struct workflow_service *service;
-  uint64_t submitted; /* id of the job; 0 for other changes */
+  uint64_t submitted; /* job id of a submission; 0 for other changes */
   workflow_change_done *done;
   void *arg;
   int64_t began_ms;
 };
 
-struct reader
+struct pending_read
 {
   struct workflow_service *service;
   workflow_read_done *done;
@@ -57,12 +57,12 @@
   struct workflow workflow;
   struct dispatcher *dispatcher;
   struct group *group;
-  LIST_HEAD (, change) changes; /* without an outcome */
-  struct proposals outcomes;    /* the dispatcher must not be told inside its own call */
+  LIST_HEAD (, pending_change) changes; /* whose outcome is pending */
+  struct proposals outcomes;            /* queued: the dispatcher is not reentrant */
   bool leading;
   bool stopping;
-  bool handing_over;         /* no more orders; until another VM leads */
-  int64_t hand_over_next_ms; /* next attempt of a move */
+  bool transferring;        /* sends no more orders until another VM leads */
+  int64_t next_transfer_ms; /* next transfer attempt */
   struct leader_placement placement;
   bool round_open;
   int64_t round_began_ms;
@@ -93,7 +93,7 @@
 }
 
 static void
-tell_outcomes (struct workflow_service *s)
+deliver_outcomes (struct workflow_service *s)
 {
   struct proposal *p;
   while ((p = STAILQ_FIRST (&s->outcomes)) != NULL)
@@ -164,7 +164,7 @@
 bool
 workflow_service_leads (const struct workflow_service *s)
 {
-  return s->leading && !s->handing_over;
+  return s->leading && !s->transferring;
 }
 
 void
@@ -173,16 +173,16 @@
   if (!s->leading || group_is_leader (s->group))
     return;
   s->leading = false;
-  s->handing_over = s->stopping;
+  s->transferring = s->stopping;
   dispatcher_resign (s->dispatcher);
   log_event (LOG_WARN, "leadership-lost", "term=%llu", (unsigned long long)group_term (s->group));
 }
 
 static void
-gain (struct workflow_service *s, int64_t now_ms)
+become_leader (struct workflow_service *s, int64_t now_ms)
 {
   s->leading = true;
-  counter_add (&gained, 1);
+  counter_add (&elections_won, 1);
   log_event (LOG_INFO, "leadership-gained", "term=%llu applied=%llu",
              (unsigned long long)group_term (s->group),
              (unsigned long long)group_applied_index (s->group));
@@ -191,18 +191,18 @@
 }
 
 static void
-hand_over (struct workflow_service *s, uint64_t to)
+transfer_leadership (struct workflow_service *s, uint64_t to)
 {
   struct status st;
-  s->handing_over = true;
-  s->hand_over_next_ms = clock_now_ms (s->config.clock) + MOVE_RETRY_MS;
+  s->transferring = true;
+  s->next_transfer_ms = clock_now_ms (s->config.clock) + TRANSFER_RETRY_MS;
   dispatcher_authority (s->dispatcher, 0);
   if (s->group && group_is_leader (s->group) && group_transfer (s->group, to, &st) < 0)
     log_event (LOG_WARN, "no-hand-over", "reason=\"%s\"", st.message);
 }
 
-/* Orders end with a hand-over and are not taken up again in this term: the successor may be elected
-   at any time from then on.  */
+/* A transfer ends the sending of orders for the rest of the term: the target may be elected at any
+   time from then on.  */
 static void
 check_placement (struct workflow_service *s, int64_t now_ms)
 {
@@ -211,9 +211,9 @@
   if (to == 0 || !leader_placement_round (&s->placement, now_ms, took_ms))
     return;
   log_event (LOG_INFO, "leadership-moves",
-             "to=%llu reason=\"rounds of the quorum are slow\" shortest_ms=%lld rounds=%u",
+             "to=%llu reason=\"quorum rounds are slow\" shortest_ms=%lld rounds=%u",
              (unsigned long long)to, (long long)s->placement.shortest_ms, s->placement.rounds);
-  hand_over (s, to);
+  transfer_leadership (s, to);
 }
 
 static void
@@ -223,10 +223,10 @@
   (void)result;
   (void)len;
   s->round_open = false;
-  if (!status_ok (st) || s->handing_over)
+  if (!status_ok (st) || s->transferring)
     return;
   if (!s->leading)
-    gain (s, clock_now_ms (s->config.clock));
+    become_leader (s, clock_now_ms (s->config.clock));
   dispatcher_authority (s->dispatcher, s->round_began_ms + AUTHORITY_MS - AUTHORITY_MARGIN_MS);
   check_placement (s, clock_now_ms (s->config.clock));
 }
@@ -234,11 +234,11 @@
 static void
 renew_authority (struct workflow_service *s, int64_t now_ms)
 {
-  if (s->round_open || s->handing_over || now_ms < s->next_round_ms || !group_is_leader (s->group))
+  if (s->round_open || s->transferring || now_ms < s->next_round_ms || !group_is_leader (s->group))
     return;
   s->round_open = true;
   s->round_began_ms = now_ms;
-  s->next_round_ms = now_ms + ROUND_EVERY_MS;
+  s->next_round_ms = now_ms + ROUND_INTERVAL_MS;
   group_confirm_leader (s->group, on_round, s);
 }
 
@@ -248,10 +248,10 @@
   int64_t now_ms = clock_now_ms (s->config.clock);
   if (!s->group)
     return;
-  tell_outcomes (s);
+  deliver_outcomes (s);
   renew_authority (s, now_ms);
-  if (s->handing_over && !s->stopping && now_ms >= s->hand_over_next_ms)
-    hand_over (s, 0);
+  if (s->transferring && !s->stopping && now_ms >= s->next_transfer_ms)
+    transfer_leadership (s, 0);
   if (s->leading)
     dispatcher_tick (s->dispatcher, now_ms, clock_wall_ms ());
 }
@@ -260,19 +260,19 @@
 workflow_service_hand_over (struct workflow_service *s)
 {
   s->stopping = true;
-  hand_over (s, 0);
+  transfer_leadership (s, 0);
 }
 
 static void
 on_changed (void *arg, const struct status *st, const void *result, size_t len)
 {
-  struct change *c = arg;
+  struct pending_change *c = arg;
   struct status outcome = *st;
   workflow_result r = { 0 };
   if (status_ok (st) && !workflow_decode_result (result, len, &r))
     status_set (&outcome, STATUS_INTERNAL, "the result of a change cannot be decoded");
   else if (status_ok (st) && r.status != STATUS_OK)
-    status_set (&outcome, (enum status_kind)r.status, "refused by the state of the jobs");
+    status_set (&outcome, (enum status_kind)r.status, "refused by the state machine");
   histogram_add (&change_times, (double)(clock_now_ms (c->service->config.clock) - c->began_ms));
   LIST_REMOVE (c, link);
   c->done (c->arg, &outcome, r.known);
@@ -283,9 +283,9 @@
 workflow_service_change (struct workflow_service *s, const workflow_command *command,
                          workflow_change_done *done, void *arg)
 {
-  struct change *c = xcalloc (1, sizeof *c);
+  struct pending_change *c = xcalloc (1, sizeof *c);
   struct buffer entry;
-  *c = (struct change){
+  *c = (struct pending_change){
     .service = s, .done = done, .arg = arg, .began_ms = clock_now_ms (s->config.clock)
   };
   if (command->kind == WORKFLOW_SUBMIT)
@@ -300,7 +300,7 @@
 bool
 workflow_service_is_submitting (const struct workflow_service *s, uint64_t job)
 {
-  const struct change *c;
+  const struct pending_change *c;
   LIST_FOREACH (c, &s->changes, link)
   if (c->submitted == job)
     return true;
@@ -310,7 +310,7 @@
 static void
 on_confirmed (void *arg, const struct status *st, const void *result, size_t len)
 {
-  struct reader *r = arg;
+  struct pending_read *r = arg;
   (void)result;
   (void)len;
   histogram_add (&read_times, (double)(clock_now_ms (r->service->config.clock) - r->began_ms));
@@ -321,8 +321,8 @@
 void
 workflow_service_read (struct workflow_service *s, workflow_read_done *done, void *arg)
 {
-  struct reader *r = xcalloc (1, sizeof *r);
-  *r = (struct reader){
+  struct pending_read *r = xcalloc (1, sizeof *r);
+  *r = (struct pending_read){
     .service = s, .done = done, .arg = arg, .began_ms = clock_now_ms (s->config.clock)
   };
   group_confirm_leader (s->group, on_confirmed, r);
--- a/src/workflow/workflow_service.h
+++ b/src/workflow/workflow_service.h
@@ -1,12 +1,12 @@
-/* workflow_service: a workflow group at work on one VM.
+/* workflow_service: runs a workflow group on one VM.
 
-   Binds the state machine, its group and the dispatcher: tells the dispatcher of leadership, renews
-   its authority by quorum rounds, and commits what it proposes.  The owner opens the group with
-   workflow_service_machine, hands it over by workflow_service_set_group and calls
+   Connects the state machine, its group and the dispatcher: notifies the dispatcher of leadership
+   changes, renews its authority by quorum rounds and commits its proposals.  The owner opens the
+   group with workflow_service_machine, passes it to workflow_service_set_group and calls
    workflow_service_tick every DISPATCHER_TICK_MS.
 
-   Outcomes of changes: STATUS_OK, a refusal by the state machine, STATUS_NOT_LEADER (surely not
-   accepted) or STATUS_OUTCOME_UNKNOWN (it may have been; every change may be repeated).  */
+   Outcomes of changes: STATUS_OK, a refusal by the state machine, STATUS_NOT_LEADER (certainly not
+   accepted) or STATUS_OUTCOME_UNKNOWN (possibly accepted; every change is idempotent).  */
 
 #ifndef SASSAFRAS_WORKFLOW_SERVICE_H
 #define SASSAFRAS_WORKFLOW_SERVICE_H
@@ -28,27 +28,27 @@
   int64_t status_ms;
 };
 
-/* KNOWN: the job of a submission was known before.  */
+/* KNOWN: the submitted job already existed.  */
 typedef void workflow_change_done (void *arg, const struct status *st, bool known);
 
-/* The state may be read in this call; ST is not OK when this VM surely leads no more.  */
+/* The state may be read during this call; ST is not OK if this VM certainly no longer leads.  */
 typedef void workflow_read_done (void *arg, const struct status *st);
 
 struct workflow_service *
 workflow_service_open (const struct workflow_service_config *config); /* No group yet. */
-void workflow_service_close (struct workflow_service *s);             /* After the group. */
+void workflow_service_close (struct workflow_service *s); /* Call after closing the group. */
 struct machine *workflow_service_machine (struct workflow_service *s);
 struct workflow *workflow_service_state (struct workflow_service *s);
 struct dispatcher *workflow_service_dispatcher (struct workflow_service *s);
 void workflow_service_set_group (struct workflow_service *s, struct group *g);
-void workflow_service_leader_changed (struct workflow_service *s); /* From the group's event. */
+void workflow_service_leader_changed (struct workflow_service *s); /* On the group's event. */
 void workflow_service_tick (struct workflow_service *s);
 bool workflow_service_leads (const struct workflow_service *s); /* Confirmed, log applied. */
 void workflow_service_hand_over (struct workflow_service *s);   /* Planned stop: no more orders. */
 void workflow_service_change (struct workflow_service *s, const workflow_command *c,
                               workflow_change_done *done, void *arg); /* Commits C. */
 bool workflow_service_is_submitting (const struct workflow_service *s,
-                                     uint64_t job); /* An attempt may still be committed. */
+                                     uint64_t job); /* A submission may still be committed. */
 void workflow_service_read (struct workflow_service *s, workflow_read_done *done,
                             void *arg); /* Confirms leadership, then calls DONE. */
 
--- a/src/workflow/workflow_snapshot.c
+++ b/src/workflow/workflow_snapshot.c
@@ -1,4 +1,4 @@
-/* Snapshot of a workflow.  */
+/* Snapshots of the workflow state.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -15,7 +15,7 @@
   return count * j->occurrences;
 }
 
-/* The I-th task of J, counted over occurrences, then steps.  */
+/* The I-th task of J, ordered by occurrence, then by step.  */
 static struct workflow_task *
 task_at (const struct workflow_job *j, uint32_t i)
 {
@@ -148,5 +148,6 @@
   bool ok = xdr_workflow_image (&xdr, &image) && load_image ((struct workflow *)m, &image);
   xdr_destroy (&xdr);
   xdr_free ((xdrproc_t)xdr_workflow_image, (char *)&image);
-  return ok ? 0 : status_set (st, STATUS_JOURNAL_DAMAGED, "the snapshot of the jobs is malformed");
+  return ok ? 0
+            : status_set (st, STATUS_JOURNAL_DAMAGED, "the workflow snapshot cannot be decoded");
 }
--- a/tests/test_seeded_group.c
+++ b/tests/test_seeded_group.c
@@ -1,5 +1,5 @@
-/* Guards against a group that stops when voters are lost one after another although empty
-   successors came at other addresses.  Groups of one process talk over loopback addresses.  */
+/* Guards against a group that loses its quorum when voters are lost one after another, although
+   empty replacements joined at other addresses.  All members run in one process, on loopback.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -93,9 +93,9 @@
   return NULL;
 }
 
-/* What the owner does with a VM that wants to join: the request reaches the leader.  */
+/* Forwards join requests to the leader, as the owner of a group does.  */
 static void
-bring_requests (struct system *s)
+forward_join_requests (struct system *s)
 {
   struct status st;
   struct vm *leader = find_leader (s);
@@ -115,14 +115,14 @@
   ev_timer_start (s->loop, &timer);
   ev_run (s->loop, 0);
   ev_timer_stop (s->loop, &timer);
-  bring_requests (s);
+  forward_join_requests (s);
   log_flush ();
   for (int i = 0; i < VMS; i++)
     if (s->vms[i].group)
       seeded_group_tick (s->vms[i].group);
 }
 
-/* As the daemon does it: before the loop blocks.  */
+/* Flushes before the loop blocks, as the daemon does.  */
 static void
 on_flush (struct ev_loop *loop, ev_prepare *w, int events)
 {
@@ -142,7 +142,7 @@
   *(int *)arg = status_ok (st) ? 1 : -1;
 }
 
-/* Commits one command within SECONDS; false when the group can't.  */
+/* Commits one command; false if the group does not do so within SECONDS.  */
 static bool
 commits (struct system *s, double seconds)
 {
@@ -169,7 +169,7 @@
 }
 
 static bool
-votes (struct system *s, int i)
+is_voter (struct system *s, int i)
 {
   struct vm *leader = find_leader (s);
   uint64_t node = ((uint64_t)127 << 24) + (7 << 8) + (uint64_t)i + 1;
@@ -184,10 +184,10 @@
 becomes_voter (struct system *s, int i, double seconds)
 {
   double end = ev_time () + seconds;
-  while (ev_time () < end && !votes (s, i))
+  while (ev_time () < end && !is_voter (s, i))
     step (s);
-  /* The member list in force may still be on its way to a quorum.  */
-  return votes (s, i) && commits (s, 5);
+  /* The current member list may not be replicated to a quorum yet.  */
+  return is_voter (s, i) && commits (s, 5);
 }
 
 static int
@@ -224,14 +224,14 @@
 }
 
 static void
-test_successors_take_the_place_of_lost_voters (void **state)
+test_replacements_become_voters (void **state)
 {
   struct system *s = *state;
   assert_true (commits (s, 5));
   stop (s, 0);
   start (s, 3, false);
   assert_true (becomes_voter (s, 3, 8));
-  assert_false (votes (s, 0));
+  assert_false (is_voter (s, 0));
   stop (s, 1);
   assert_true (commits (s, 5));
   start (s, 4, false);
@@ -240,9 +240,9 @@
   assert_true (commits (s, 5));
 }
 
-/* A voter that was dropped while it was away comes back as a spare.  */
+/* A voter that was removed while it was down rejoins as a spare.  */
 static void
-test_a_dropped_voter_joins_again (void **state)
+test_removed_voter_rejoins (void **state)
 {
   struct system *s = *state;
   assert_true (commits (s, 5));
@@ -259,7 +259,7 @@
 }
 
 static void
-test_no_voter_is_dropped_without_a_replacement (void **state)
+test_voter_without_replacement_is_kept (void **state)
 {
   struct plan_member members[] = { { .node = 1, .voter = true },
                                    { .node = 2, .voter = true, .silent_ms = 60000 },
@@ -271,7 +271,7 @@
 }
 
 static void
-test_spares_join_in_pairs_up_to_five (void **state)
+test_spares_are_promoted_in_pairs_up_to_five (void **state)
 {
   struct plan_member members[6] = { { .node = 1, .voter = true },
                                     { .node = 2, .voter = true },
@@ -289,11 +289,10 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test_setup_teardown (test_successors_take_the_place_of_lost_voters,
-                                           open_system, close_system),
-          cmocka_unit_test_setup_teardown (test_a_dropped_voter_joins_again, open_system,
+      = { cmocka_unit_test_setup_teardown (test_replacements_become_voters, open_system,
                                            close_system),
-          cmocka_unit_test (test_no_voter_is_dropped_without_a_replacement),
-          cmocka_unit_test (test_spares_join_in_pairs_up_to_five) };
+          cmocka_unit_test_setup_teardown (test_removed_voter_rejoins, open_system, close_system),
+          cmocka_unit_test (test_voter_without_replacement_is_kept),
+          cmocka_unit_test (test_spares_are_promoted_in_pairs_up_to_five) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_workflow.c
+++ b/tests/test_workflow.c
@@ -1,5 +1,5 @@
-/* Guards against jobs that are lost, revived, done twice or started out of order in the replicated
-   state, and against snapshots that differ from the log.  */
+/* Guards against jobs that are lost, reopened, executed twice or started out of order in the
+   replicated state, and against snapshots that differ from the state built from the log.  */
 #include "workflow_fixture.h"
 
 static workflow_task_ref
@@ -29,7 +29,7 @@
 }
 
 static void
-test_a_step_waits_for_the_one_before (void **state)
+test_step_waits_for_its_dependency (void **state)
 {
   struct fixture *f = *state;
   fixture_submit (f, 1, 2, 2, 0);
@@ -43,7 +43,7 @@
 }
 
 static void
-test_a_task_runs_once (void **state)
+test_task_is_executed_once (void **state)
 {
   struct fixture *f = *state;
   fixture_submit (f, 1, 1, 1, 0);
@@ -61,9 +61,9 @@
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_COMPLETED);
 }
 
-/* A run that counted as lapsed and was done: its task must not run again.  */
+/* A run marked as lapsed turns out to be DONE: its task must not run again.  */
 static void
-test_a_late_end_makes_the_task_done (void **state)
+test_late_end_completes_the_task (void **state)
 {
   struct fixture *f = *state;
   fixture_submit (f, 1, 1, 2, 0);
@@ -77,9 +77,9 @@
   assert_int_equal (workflow_find_job (&f->workflow, 1)->runs, 0);
 }
 
-/* A repeat of the submission that arrives after the cancel must not revive the job.  */
+/* A repeated submission that arrives after the cancel must not reopen the job.  */
 static void
-test_a_cancelled_job_stays_cancelled (void **state)
+test_cancelled_job_is_not_reopened (void **state)
 {
   struct fixture *f = *state;
   fixture_submit (f, 1, 1, 1, 0);
@@ -91,7 +91,7 @@
 }
 
 static void
-test_a_lasting_task_starts_again_however_it_ends (void **state)
+test_lasting_task_restarts_after_any_outcome (void **state)
 {
   struct fixture *f = *state;
   static const enum workflow_outcome outcomes[]
@@ -106,7 +106,7 @@
 }
 
 static void
-test_an_older_configuration_changes_nothing (void **state)
+test_older_configuration_is_refused (void **state)
 {
   struct fixture *f = *state;
   fixture_configure (f, 5, 7);
@@ -119,7 +119,7 @@
 }
 
 static void
-test_the_longest_prefix_selects_the_queue (void **state)
+test_longest_prefix_selects_the_queue (void **state)
 {
   struct fixture *f = *state;
   assert_non_null (workflow_match_queue (&f->workflow, "host", "/q/1"));
@@ -134,9 +134,9 @@
   f->workflow.machine.ops->save (&f->workflow.machine, out);
 }
 
-/* A VM that gets a snapshot must hold the same as one that applied the log.  */
+/* Loading a snapshot must produce the same state as applying the log.  */
 static void
-test_a_snapshot_holds_everything (void **state)
+test_snapshot_contains_all_state (void **state)
 {
   struct fixture *f = *state;
   struct buffer before;
@@ -178,13 +178,13 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { TEST (test_a_step_waits_for_the_one_before),
-                                      TEST (test_a_task_runs_once),
-                                      TEST (test_a_late_end_makes_the_task_done),
-                                      TEST (test_a_cancelled_job_stays_cancelled),
-                                      TEST (test_a_lasting_task_starts_again_however_it_ends),
-                                      TEST (test_an_older_configuration_changes_nothing),
-                                      TEST (test_the_longest_prefix_selects_the_queue),
-                                      TEST (test_a_snapshot_holds_everything) };
+  const struct CMUnitTest tests[] = { TEST (test_step_waits_for_its_dependency),
+                                      TEST (test_task_is_executed_once),
+                                      TEST (test_late_end_completes_the_task),
+                                      TEST (test_cancelled_job_is_not_reopened),
+                                      TEST (test_lasting_task_restarts_after_any_outcome),
+                                      TEST (test_older_configuration_is_refused),
+                                      TEST (test_longest_prefix_selects_the_queue),
+                                      TEST (test_snapshot_contains_all_state) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_workflow_service.c
+++ b/tests/test_workflow_service.c
@@ -1,5 +1,5 @@
-/* A workflow group at work on one VM.  Guards against a job that is refused for good while an
-   earlier attempt of its caller is on its way into the log.  */
+/* A workflow group on one VM.  Guards against a job that is refused permanently although an earlier
+   submission by its caller is still being committed.  */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,7 +17,7 @@
 #include "workflow_service.h"
 
 #define STEP_S 0.02
-#define MOST_STEPS 500
+#define MAX_STEPS 500
 #define JOB 0x1234
 
 struct vm
@@ -31,7 +31,7 @@
 };
 
 static void
-no_order (struct worker_link *l, const struct worker_hold *o)
+ignore_hold (struct worker_link *l, const struct worker_hold *o)
 {
   (void)l;
   (void)o;
@@ -79,7 +79,7 @@
 static void
 open_vm (struct vm *v)
 {
-  static const struct worker_link_ops ops = { .hold = no_order };
+  static const struct worker_link_ops ops = { .hold = ignore_hold };
   static struct worker_link link = { &ops };
   struct status st;
   memset (v, 0, sizeof *v);
@@ -163,19 +163,19 @@
 static void
 await_outcomes (struct vm *v, unsigned count)
 {
-  for (int i = 0; i < MOST_STEPS && v->outcomes < count; i++)
+  for (int i = 0; i < MAX_STEPS && v->outcomes < count; i++)
     step (v);
   assert_int_equal (v->outcomes, count);
   assert_int_equal (v->outcome, STATUS_OK);
 }
 
 static void
-test_a_submission_on_its_way_is_known (void **state)
+test_uncommitted_submission_is_reported (void **state)
 {
   struct vm v;
   (void)state;
   open_vm (&v);
-  for (int i = 0; i < MOST_STEPS && !workflow_service_leads (v.service); i++)
+  for (int i = 0; i < MAX_STEPS && !workflow_service_leads (v.service); i++)
     step (&v);
   assert_true (workflow_service_leads (v.service));
   configure (&v);
@@ -193,6 +193,6 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_a_submission_on_its_way_is_known) };
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_uncommitted_submission_is_reported) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/workflow_fixture.h
+++ b/tests/workflow_fixture.h
@@ -1,5 +1,5 @@
-/* workflow_fixture: a dispatcher on a paused clock with a log that commits on request and workers
-   that are plain records of the orders they got.  */
+/* workflow_fixture: a dispatcher on a manual clock, with a log that commits on request and workers
+   that only record the orders they receive.  */
 
 #ifndef WORKFLOW_FIXTURE_H
 #define WORKFLOW_FIXTURE_H
@@ -117,7 +117,7 @@
   l->token = token;
 }
 
-/* Applies one command; true when it had effect.  */
+/* Applies one command; true if it succeeded.  */
 static inline bool
 fixture_apply (struct fixture *f, const void *data, size_t len)
 {
@@ -141,7 +141,7 @@
   return ok;
 }
 
-/* Commits what was proposed, also what that leads to.  */
+/* Commits all proposals, including those that result from a commit.  */
 static inline void
 fixture_commit (struct fixture *f)
 {
@@ -164,7 +164,7 @@
   fixture_commit (f);
 }
 
-/* A worker whose clock runs as ours.  */
+/* A report of a worker whose clock equals the fixture's.  */
 static inline struct worker_report
 fixture_worker (const struct fixture *f, const char *id, const char *address)
 {
@@ -179,7 +179,7 @@
                                  .sequence = (uint64_t)f->now_ms };
 }
 
-/* The last hold sent to WORKER, which must exist.  */
+/* The last hold sent to WORKER; fails if there is none.  */
 static inline struct sent_hold
 fixture_last_hold (const struct fixture *f, const char *worker)
 {
@@ -207,7 +207,7 @@
   fixture_commit (f);
 }
 
-/* Reports WORKER and answers its first hold with empty lists, so that it may be used.  */
+/* Registers a worker and answers its first hold with empty lists, which makes it usable.  */
 static inline void
 fixture_join (struct fixture *f, const char *id, const char *address)
 {
@@ -242,7 +242,7 @@
   assert_true (fixture_change (f, &c));
 }
 
-/* A job of STEPS steps in a chain, each with COUNT tasks of one core.  */
+/* Submits a job with a chain of STEPS steps, each of COUNT single-core tasks.  */
 static inline bool
 fixture_submit (struct fixture *f, uint64_t id, uint32_t steps, uint32_t count, uint32_t flags)
 {
