--- a/src/workflow/dispatcher_place.c
+++ b/src/workflow/dispatcher_place.c
@@ -45,7 +45,7 @@
 static int64_t
 objective_ms (const struct workflow_job *j, const workflow_queue *q)
 {
-  return (int64_t)j->chain_ms * q->stretch_milli / MILLI + q->target_ms;
+  return (int64_t)j->critical_path_ms * q->stretch_milli / MILLI + q->target_ms;
 }
 
 static void
--- a/src/workflow/leader_relay.c
+++ b/src/workflow/leader_relay.c
@@ -132,7 +132,7 @@
 }
 
 int64_t
-leader_relay_heard_ms (const struct leader_relay *r)
+leader_relay_last_answer_ms (const struct leader_relay *r)
 {
   return r->heard_ms;
 }
@@ -511,8 +511,8 @@
   else if (a->code == CODE_OK)
     {
       record_leader (r, r->probe_target, now_ms);
-      if (r->config.answered)
-        r->config.answered (r->config.arg, r->probe_target);
+      if (r->config.probe_answered)
+        r->config.probe_answered (r->config.arg, r->probe_target);
     }
   continue_lookup (r);
 }
--- a/src/workflow/leader_relay.h
+++ b/src/workflow/leader_relay.h
@@ -54,7 +54,7 @@
   const char *const *headers; /* names of forwarded headers, NULL-terminated */
   /* Stores the leader known to this VM in IP; NULL on a VM outside the group.  */
   bool (*leader) (void *arg, char ip[SEEDED_GROUP_IP_BYTES]);
-  void (*answered) (void *arg, const char *ip); /* IP accepted a probe, so it leads; may be NULL */
+  void (*probe_answered) (void *arg, const char *ip); /* IP leads; may be NULL */
   void *arg;
 };
 
@@ -67,7 +67,7 @@
                         int64_t last_ms); /* Answers all current and later requests by LAST_MS. */
 void leader_relay_probe (struct leader_relay *r, const char *method,
                          const char *path); /* Sends a request of this VM to the leader. */
-int64_t leader_relay_heard_ms (const struct leader_relay *r); /* Time of a leader's last answer. */
+int64_t leader_relay_last_answer_ms (const struct leader_relay *r); /* Leader's last answer. */
 void leader_relay_refuse (struct http_request *req, const char *leader_ip,
                           int port); /* 307 to LEADER_IP, or 421 if it is NULL. */
 
--- a/src/workflow/order_exchange.c
+++ b/src/workflow/order_exchange.c
@@ -22,9 +22,9 @@
                                             .direct = config->direct,
                                             .send = config->send,
                                             .send_arg = config->send_arg,
-                                            .helped_from = config->helped_from };
+                                            .helper_min_workers = config->helper_min_workers };
   const struct order_server_config server = { .clock = config->clock,
-                                              .calls = config->other,
+                                              .calls = config->relayed,
                                               .send = config->send,
                                               .send_arg = config->send_arg };
   x->relay = order_relay_open (&relay);
@@ -53,9 +53,9 @@
 }
 
 void
-order_exchange_report_to (struct order_exchange *x, worker_outcome_fn *outcome, void *arg)
+order_exchange_set_outcome_handler (struct order_exchange *x, worker_outcome_fn *outcome, void *arg)
 {
-  order_relay_report_to (x->relay, outcome, arg);
+  order_relay_set_outcome_handler (x->relay, outcome, arg);
 }
 
 void
--- a/src/workflow/order_relay.c
+++ b/src/workflow/order_relay.c
@@ -286,7 +286,7 @@
 }
 
 void
-order_relay_report_to (struct order_relay *r, worker_outcome_fn *outcome, void *arg)
+order_relay_set_outcome_handler (struct order_relay *r, worker_outcome_fn *outcome, void *arg)
 {
   r->outcome = outcome;
   r->outcome_arg = arg;
@@ -416,7 +416,7 @@
 order_relay_tick (struct order_relay *r, size_t workers)
 {
   int64_t now_ms = clock_now_ms (r->config.clock);
-  r->helpers_enabled = workers >= r->config.helped_from;
+  r->helpers_enabled = workers >= r->config.helper_min_workers;
   if (now_ms < r->next_expiry_ms)
     return;
   r->next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
--- a/src/workflow/order_relay.h
+++ b/src/workflow/order_relay.h
@@ -35,14 +35,15 @@
   struct worker_link *direct; /* calls workers from this VM */
   orders_send_fn *send;
   void *send_arg;
-  size_t helped_from; /* with fewer workers this VM calls all of them */
+  size_t helper_min_workers; /* with fewer workers this VM calls all of them */
 };
 
 struct order_relay *order_relay_open (const struct order_relay_config *config); /* Copies CONFIG. */
 void order_relay_close (struct order_relay *r); /* Pending calls get no outcome. */
 struct worker_link *order_relay_link (struct order_relay *r);
-void order_relay_report_to (struct order_relay *r, worker_outcome_fn *outcome,
-                            void *arg); /* For outcomes from helpers; set before the first order. */
+void order_relay_set_outcome_handler (
+    struct order_relay *r, worker_outcome_fn *outcome,
+    void *arg); /* For outcomes from helpers; set before the first order. */
 void order_relay_peer (struct order_relay *r, uint64_t node, const char *zone,
                        bool connected); /* A core VM connected or disconnected. */
 void order_relay_receive (struct order_relay *r, uint64_t node,
--- a/src/workflow/seeded_group.c
+++ b/src/workflow/seeded_group.c
@@ -370,7 +370,7 @@
 }
 
 void
-seeded_group_meet (struct seeded_group *s, const char *ip)
+seeded_group_add_peer (struct seeded_group *s, const char *ip)
 {
   struct peer_info info;
   if (!peer_net_peer (s->net, node_of_ip (ip), &info))
@@ -386,7 +386,7 @@
 }
 
 bool
-seeded_group_wants_to_join (const struct seeded_group *s)
+seeded_group_needs_join (const struct seeded_group *s)
 {
   return clock_now_ms (s->config.clock) - s->leader_known_ms >= JOIN_DELAY_MS;
 }
--- a/src/workflow/seeded_group.h
+++ b/src/workflow/seeded_group.h
@@ -58,13 +58,12 @@
 void seeded_group_tick (struct seeded_group *s);  /* Call every 10 to 50 ms. */
 bool seeded_group_flush (struct seeded_group *s); /* True: call again before blocking. */
 bool seeded_group_send_orders (void *seeded_group, uint64_t node, const void *data,
-                               size_t len); /* Implements orders_send_fn. */
-bool
-seeded_group_wants_to_join (const struct seeded_group *s); /* No leader has been known recently. */
+                               size_t len);                  /* Implements orders_send_fn. */
+bool seeded_group_needs_join (const struct seeded_group *s); /* No leader known recently. */
 int seeded_group_join (struct seeded_group *s, const char *ip,
                        struct status *st); /* Leader only: adds IP as a learner. */
-void seeded_group_meet (struct seeded_group *s,
-                        const char *ip); /* Adds IP, which accepted a join request, as a peer. */
+void seeded_group_add_peer (struct seeded_group *s,
+                            const char *ip); /* IP accepted our join request: a known peer. */
 bool seeded_group_leader (const struct seeded_group *s,
                           char ip[SEEDED_GROUP_IP_BYTES]); /* False if unknown. */
 
--- a/src/workflow/workflow.h
+++ b/src/workflow/workflow.h
@@ -112,7 +112,7 @@
   int size;                  /* leader: enum size_class among the jobs of its queue */
   bool start_counted;        /* leader: counted among the started jobs of its size */
   int64_t ended_ms;          /* leader: when it first saw the job ended; 0 while open */
-  uint64_t chain_ms;         /* critical path by the estimates in the spec */
+  uint64_t critical_path_ms; /* critical path by the estimates in the spec */
   uint32_t *remain_ms;       /* critical path from each step, inclusive, to the end of the job */
 };
 
--- a/src/workflow/workflow_apply.c
+++ b/src/workflow/workflow_apply.c
@@ -412,8 +412,8 @@
     {
       const workflow_step *s = &j->spec.steps.steps_val[i];
       j->remain_ms[i] += s->estimate_ms;
-      if (j->remain_ms[i] > j->chain_ms)
-        j->chain_ms = j->remain_ms[i];
+      if (j->remain_ms[i] > j->critical_path_ms)
+        j->critical_path_ms = j->remain_ms[i];
       for (u_int k = 0; k < s->after.after_len; k++)
         {
           uint32_t *before = &j->remain_ms[s->after.after_val[k]];
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -257,7 +257,7 @@
 }
 
 void
-workflow_service_hand_over (struct workflow_service *s)
+workflow_service_transfer_leadership (struct workflow_service *s)
 {
   s->stopping = true;
   transfer_leadership (s, 0);
--- a/src/workflow/workflow_service.h
+++ b/src/workflow/workflow_service.h
@@ -44,7 +44,8 @@
 void workflow_service_leader_changed (struct workflow_service *s); /* On the group's event. */
 void workflow_service_tick (struct workflow_service *s);
 bool workflow_service_leads (const struct workflow_service *s); /* Confirmed, log applied. */
-void workflow_service_hand_over (struct workflow_service *s);   /* Planned stop: no more orders. */
+void workflow_service_transfer_leadership (
+    struct workflow_service *s); /* Planned stop: no more orders. */
 void workflow_service_change (struct workflow_service *s, const workflow_command *c,
                               workflow_change_done *done, void *arg); /* Commits C. */
 bool workflow_service_is_submitting (const struct workflow_service *s,
--- a/tests/test_order_relay.c
+++ b/tests/test_order_relay.c
@@ -211,12 +211,12 @@
                                             .direct = &f->direct.link,
                                             .send = fake_send,
                                             .send_arg = f,
-                                            .helped_from = MAX_RECORDS };
+                                            .helper_min_workers = MAX_RECORDS };
   const struct order_server_config server
       = { .clock = &f->clock.clock, .calls = &f->remote.link, .send = fake_send, .send_arg = f };
   f->relay = order_relay_open (&relay);
   f->server = order_server_open (&server);
-  order_relay_report_to (f->relay, on_outcome, f);
+  order_relay_set_outcome_handler (f->relay, on_outcome, f);
   order_relay_peer (f->relay, HELPER, "there", true);
   for (int i = 0; i < 10; i++)
     turn (f);
--- a/tests/test_seeded_group.c
+++ b/tests/test_seeded_group.c
@@ -100,10 +100,10 @@
   struct status st;
   struct vm *leader = find_leader (s);
   for (int i = 0; leader && i < VMS; i++)
-    if (s->vms[i].group && seeded_group_wants_to_join (s->vms[i].group))
+    if (s->vms[i].group && seeded_group_needs_join (s->vms[i].group))
       {
         if (seeded_group_join (leader->group, s->vms[i].ip, &st) == 0)
-          seeded_group_meet (s->vms[i].group, leader->ip);
+          seeded_group_add_peer (s->vms[i].group, leader->ip);
       }
 }
 
