--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -272,7 +272,7 @@
   if (status_ok (st) && !workflow_decode_result (result, len, &r))
     status_set (&outcome, STATUS_INTERNAL, "the result of a change cannot be decoded");
   else if (status_ok (st) && r.status != STATUS_OK)
-    status_set (&outcome, (enum status_kind)r.status, "refused by the state machine");
+    status_set (&outcome, (enum status_kind)r.status, "refused by the workflow state machine");
   histogram_add (&change_times, (double)(clock_now_ms (c->service->config.clock) - c->began_ms));
   LIST_REMOVE (c, link);
   c->done (c->arg, &outcome, r.known);
--- a/tests/test_order_relay.c
+++ b/tests/test_order_relay.c
@@ -21,7 +21,7 @@
 
 #define LEADER 1
 #define HELPER 2
-#define MAX_RECORDS 64
+#define MAX_ITEMS 64
 
 /* An order that reached a worker_link.  */
 struct recorded_call
@@ -40,7 +40,7 @@
 struct fake_link
 {
   struct worker_link link; /* first member: the vtable */
-  struct recorded_call calls[MAX_RECORDS];
+  struct recorded_call calls[MAX_ITEMS];
   size_t count;
 };
 
@@ -70,10 +70,10 @@
   struct fake_link remote; /* on the helper's VM */
   struct order_relay *relay;
   struct order_server *server;
-  struct message in_transit[MAX_RECORDS];
+  struct message in_transit[MAX_ITEMS];
   size_t sent;
   bool broken;
-  struct outcome outcomes[MAX_RECORDS];
+  struct outcome outcomes[MAX_ITEMS];
   size_t outcome_count;
 };
 
@@ -82,7 +82,7 @@
 {
   struct fake_link *f = (struct fake_link *)l;
   struct recorded_call *c = &f->calls[f->count++];
-  assert_true (f->count < MAX_RECORDS);
+  assert_true (f->count < MAX_ITEMS);
   c->kind = kind;
   c->tag = to->tag;
   c->fence = to->fence;
@@ -130,7 +130,7 @@
   if (f->broken)
     return false;
   struct message *m = &f->in_transit[f->sent++];
-  assert_true (f->sent < MAX_RECORDS);
+  assert_true (f->sent < MAX_ITEMS);
   m->to = node;
   buffer_init (&m->bytes);
   buffer_append (&m->bytes, data, len);
@@ -143,7 +143,7 @@
   struct fixture *f = arg;
   struct outcome *out = &f->outcomes[f->outcome_count++];
   (void)now_ms;
-  assert_true (f->outcome_count < MAX_RECORDS);
+  assert_true (f->outcome_count < MAX_ITEMS);
   *out = (struct outcome){
     .kind = o->kind, .run = o->run, .percent = o->percent, .result = o->result
   };
@@ -185,7 +185,7 @@
 advance (struct fixture *f, int64_t ms)
 {
   manual_clock_advance (&f->clock, ms);
-  order_relay_tick (f->relay, MAX_RECORDS);
+  order_relay_tick (f->relay, MAX_ITEMS);
 }
 
 /* Runs one loop turn of both VMs and delivers their messages.  */
@@ -211,7 +211,7 @@
                                             .direct = &f->direct.link,
                                             .send = fake_send,
                                             .send_arg = f,
-                                            .helper_min_workers = MAX_RECORDS };
+                                            .helper_min_workers = MAX_ITEMS };
   const struct order_server_config server
       = { .clock = &f->clock.clock, .calls = &f->remote.link, .send = fake_send, .send_arg = f };
   f->relay = order_relay_open (&relay);
@@ -389,7 +389,7 @@
 
 /* Orders delayed by a broken connection: the leader has already resolved them.  */
 static void
-test_stale_orders_are_dropped (void **state)
+test_stale_orders_are_not_executed (void **state)
 {
   struct fixture f;
   (void)state;
@@ -410,7 +410,7 @@
   struct fixture f;
   (void)state;
   open_fixture (&f);
-  order_relay_tick (f.relay, MAX_RECORDS - 1);
+  order_relay_tick (f.relay, MAX_ITEMS - 1);
   start (&f, "there", 3);
   assert_int_equal (f.direct.count, 1);
   close_fixture (&f);
@@ -447,7 +447,7 @@
     cmocka_unit_test (test_disconnected_helper_fails_its_orders_at_once),
     cmocka_unit_test (test_unresponsive_helper_gets_no_orders),
     cmocka_unit_test (test_stopping_helper_gets_no_orders),
-    cmocka_unit_test (test_stale_orders_are_dropped),
+    cmocka_unit_test (test_stale_orders_are_not_executed),
     cmocka_unit_test (test_few_workers_are_called_directly),
     cmocka_unit_test (test_random_messages_are_refused),
   };
--- a/tests/test_seeded_group.c
+++ b/tests/test_seeded_group.c
@@ -242,7 +242,7 @@
 
 /* A voter that was removed while it was down rejoins as a spare.  */
 static void
-test_removed_voter_rejoins (void **state)
+test_removed_voter_rejoins_as_a_spare (void **state)
 {
   struct system *s = *state;
   assert_true (commits (s, 5));
@@ -291,7 +291,8 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test_setup_teardown (test_replacements_become_voters, open_system,
                                            close_system),
-          cmocka_unit_test_setup_teardown (test_removed_voter_rejoins, open_system, close_system),
+          cmocka_unit_test_setup_teardown (test_removed_voter_rejoins_as_a_spare, open_system,
+                                           close_system),
           cmocka_unit_test (test_voter_without_replacement_is_kept),
           cmocka_unit_test (test_spares_are_promoted_in_pairs_up_to_five) };
   return cmocka_run_group_tests (tests, NULL, NULL);
