--- a/src/workflow/leader_placement.c
+++ b/src/workflow/leader_placement.c
@@ -15,11 +15,11 @@
 }
 
 bool
-leader_placement_round (struct leader_placement *p, int64_t now_ms, int64_t took_ms)
+leader_placement_round (struct leader_placement *p, int64_t now_ms, int64_t duration_ms)
 {
   p->rounds++;
-  if (took_ms < p->shortest_ms)
-    p->shortest_ms = took_ms;
+  if (duration_ms < p->shortest_ms)
+    p->shortest_ms = duration_ms;
   if (p->rounds < LEADER_PLACEMENT_MIN_ROUNDS || p->shortest_ms < LEADER_PLACEMENT_SLOW_MS
       || now_ms < p->backoff_until_ms)
     return false;
--- a/src/workflow/leader_placement.h
+++ b/src/workflow/leader_placement.h
@@ -17,7 +17,7 @@
 
 #define LEADER_PLACEMENT_MIN_ROUNDS 4           /* rounds measured in a term before a decision */
 #define LEADER_PLACEMENT_SLOW_MS 25             /* users' zones are 1.4 ms apart, regions 30 ms */
-#define LEADER_PLACEMENT_BACKOFF_MS 300000      /* a transfer stops task starts for 1 to 2 s */
+#define LEADER_PLACEMENT_BACKOFF_MS 300000      /* first one; a transfer costs 1 to 2 s of starts */
 #define LEADER_PLACEMENT_MAX_BACKOFF_MS 3600000 /* upper limit of the back-off */
 
 struct leader_placement
@@ -31,6 +31,6 @@
 void leader_placement_init (struct leader_placement *p);    /* No transfer so far. */
 void leader_placement_elected (struct leader_placement *p); /* This VM became leader. */
 bool leader_placement_round (struct leader_placement *p, int64_t now_ms,
-                             int64_t took_ms); /* A quorum answered; true: transfer now. */
+                             int64_t duration_ms); /* A quorum answered; true: transfer now. */
 
 #endif
--- a/src/workflow/leader_relay.c
+++ b/src/workflow/leader_relay.c
@@ -45,7 +45,7 @@
   int64_t began_ms;
   int64_t deadline_ms;
   unsigned attempts;
-  unsigned redirects; /* in a row */
+  unsigned redirects; /* consecutive */
   bool may_have_run;  /* an attempt may have been executed */
   bool waiting;       /* for a leader; otherwise an attempt is in progress */
   char target[SEEDED_GROUP_IP_BYTES];
@@ -66,8 +66,8 @@
   char probe_target[SEEDED_GROUP_IP_BYTES];
   size_t next;                        /* next candidate to probe when no leader is known */
   char leader[SEEDED_GROUP_IP_BYTES]; /* "" if unknown */
-  int64_t heard_ms;
-  int64_t last_ms; /* upper limit of all deadlines */
+  int64_t last_answer_ms;
+  int64_t finish_by_ms; /* upper limit of all deadlines */
   struct relay_calls calls;
   ev_timer lookup; /* next leader lookup, active while requests wait */
 };
@@ -102,8 +102,8 @@
   struct leader_relay *r = xcalloc (1, sizeof *r);
   r->config = *config;
   r->client = http_client_open (config->loop, 0);
-  r->heard_ms = INT64_MIN / 2;
-  r->last_ms = INT64_MAX;
+  r->last_answer_ms = INT64_MIN / 2;
+  r->finish_by_ms = INT64_MAX;
   LIST_INIT (&r->calls);
   ev_init (&r->lookup, on_lookup);
   r->lookup.data = r;
@@ -134,7 +134,7 @@
 int64_t
 leader_relay_last_answer_ms (const struct leader_relay *r)
 {
-  return r->heard_ms;
+  return r->last_answer_ms;
 }
 
 void
@@ -231,10 +231,10 @@
 {
   struct leader_relay *r = c->relay;
   int64_t now_ms = clock_now_ms (r->config.clock);
-  int64_t last_ms = min_ms (c->deadline_ms, r->last_ms);
+  int64_t last_ms = min_ms (c->deadline_ms, r->finish_by_ms);
   if (c->waiting && !c->may_have_run)
-    last_ms = min_ms (last_ms,
-                      max_ms (c->began_ms + RELAY_MIN_WAIT_MS, r->heard_ms + RELAY_LEADER_LOST_MS));
+    last_ms = min_ms (last_ms, max_ms (c->began_ms + RELAY_MIN_WAIT_MS,
+                                       r->last_answer_ms + RELAY_LEADER_LOST_MS));
   ev_timer_stop (r->config.loop, &c->deadline_timer);
   ev_timer_set (&c->deadline_timer, (double)max_ms (last_ms - now_ms, 0) / MS_PER_S, 0.0);
   ev_timer_start (r->config.loop, &c->deadline_timer);
@@ -254,7 +254,7 @@
 leader_relay_finish_by (struct leader_relay *r, int64_t last_ms)
 {
   struct relay_call *c;
-  r->last_ms = last_ms;
+  r->finish_by_ms = last_ms;
   LIST_FOREACH (c, &r->calls, link)
   if (c->request)
     arm_deadline (c);
@@ -296,7 +296,7 @@
 record_leader (struct leader_relay *r, const char *ip, int64_t now_ms)
 {
   struct candidate *leader = find_candidate (r, ip);
-  r->heard_ms = now_ms;
+  r->last_answer_ms = now_ms;
   snprintf (r->leader, sizeof r->leader, "%s", ip);
   if (leader)
     leader->backoff_until_ms = 0;
--- a/src/workflow/leader_relay.h
+++ b/src/workflow/leader_relay.h
@@ -27,12 +27,10 @@
 #include "http_server.h"
 #include "seeded_group.h"
 
-#define RELAY_HEADER                                                                               \
-  "Sassafras-Relayed" /* marks relayed requests: answer 307 or 421, do not relay */
+#define RELAY_HEADER "Sassafras-Relayed" /* on relayed requests: answer 307 or 421, never relay */
 /* A leader in another region answers in 150 ms; two attempts fit into the 1 s of a control call. */
 #define RELAY_ATTEMPT_MS 450
-#define RELAY_PROBE_INTERVAL_MS                                                                    \
-  40 /* between probes without a leader; an election takes about 1.5 s */
+#define RELAY_PROBE_INTERVAL_MS 40    /* without a leader; an election takes about 1.5 s */
 #define RELAY_LEADER_LOST_MS 4000     /* two elections; beyond that another fault is likely */
 #define RELAY_MIN_WAIT_MS 500         /* time for ten probes once the leader counts as lost */
 #define RELAY_BACKOFF_MS 1500         /* for a candidate that did not answer */
@@ -62,9 +60,8 @@
 void leader_relay_close (struct leader_relay *r); /* Pending requests are not answered. */
 void leader_relay_send (struct leader_relay *r, struct http_request *req,
                         int64_t budget_ms); /* Answers REQ within BUDGET_MS. */
-void
-leader_relay_finish_by (struct leader_relay *r,
-                        int64_t last_ms); /* Answers all current and later requests by LAST_MS. */
+void leader_relay_finish_by (struct leader_relay *r,
+                             int64_t last_ms); /* Answers current and later requests by LAST_MS. */
 void leader_relay_probe (struct leader_relay *r, const char *method,
                          const char *path); /* Sends a request of this VM to the leader. */
 int64_t leader_relay_last_answer_ms (const struct leader_relay *r); /* Leader's last answer. */
--- a/src/workflow/order_exchange.h
+++ b/src/workflow/order_exchange.h
@@ -34,9 +34,8 @@
 void order_exchange_peer (struct order_exchange *x, uint64_t node, const char *zone,
                           bool connected); /* A core VM connected or disconnected. */
 void order_exchange_receive (struct order_exchange *x, uint64_t from, const void *data,
-                             size_t len); /* Handles a message from a core VM. */
-void order_exchange_stop (
-    struct order_exchange *x); /* Planned stop: accept no more orders from leaders. */
+                             size_t len);            /* Handles a message from a core VM. */
+void order_exchange_stop (struct order_exchange *x); /* Planned stop: no more remote orders. */
 void order_exchange_tick (struct order_exchange *x,
                           size_t workers); /* WORKERS known while this VM leads, else 0. */
 int64_t order_exchange_flush (struct order_exchange *x); /* Sends what is due, at the end of a loop
--- a/src/workflow/order_relay.c
+++ b/src/workflow/order_relay.c
@@ -12,7 +12,7 @@
 #include "orders_codec.h"
 
 #define MAX_HELPERS 16
-#define HELPER_PROBE_MS 150   /* two and a cross-region round trip fit into the time-out below */
+#define HELPER_PROBE_MS 150   /* two and a cross-region round trip fit into the timeout below */
 #define HELPER_TIMEOUT_MS 600 /* a helper that has not answered for this long gets no orders */
 /* 700 ms that a helper allows a call beyond its wait, plus the way back and timer delays.  */
 #define ANSWER_TIMEOUT_MS 1300
@@ -27,10 +27,10 @@
 {
   uint64_t node;
   bool connected;
-  bool stopping;    /* accepts no more orders */
-  uint64_t echo;    /* the helper's clock in its last answer; 0 before the first */
-  int64_t heard_ms; /* last answer */
-  int64_t sent_ms;  /* last batch */
+  bool stopping; /* accepts no more orders */
+  uint64_t echo; /* the helper's clock in its last answer; 0 before the first */
+  int64_t last_answer_ms;
+  int64_t last_batch_ms;
   struct orders_items items;
 };
 
@@ -114,7 +114,8 @@
 static bool
 is_usable (const struct helper *h, int64_t now_ms)
 {
-  return h->connected && !h->stopping && h->echo != 0 && now_ms - h->heard_ms < HELPER_TIMEOUT_MS;
+  return h->connected && !h->stopping && h->echo != 0
+         && now_ms - h->last_answer_ms < HELPER_TIMEOUT_MS;
 }
 
 static void
@@ -123,10 +124,10 @@
   struct buffer message;
   buffer_init (&message);
   orders_encode_orders (&h->items, h->echo, &message);
-  h->sent_ms = now_ms;
+  h->last_batch_ms = now_ms;
   /* Orders that were not sent expire like unanswered ones.  */
   if (!r->config.send (r->config.send_arg, h->node, message.data, message.len))
-    h->heard_ms = 0;
+    h->last_answer_ms = 0;
   buffer_close (&message);
 }
 
@@ -335,7 +336,7 @@
   h->connected = connected;
   h->stopping = false;
   h->echo = 0;
-  h->heard_ms = 0;
+  h->last_answer_ms = 0;
   snprintf (r->options[h - r->helpers].zone, HELPER_ZONE_BYTES, "%s", zone);
   if (connected)
     return;
@@ -404,7 +405,7 @@
   bool usable = is_usable (h, now_ms);
   h->stopping = batch->stopping;
   h->echo = batch->clock;
-  h->heard_ms = now_ms;
+  h->last_answer_ms = now_ms;
   if (is_usable (h, now_ms) != usable)
     log_event (LOG_INFO, usable ? "helper-stops" : "helper-usable", "peer=%" PRIu64 " zone=%s",
                node, r->options[h - r->helpers].zone);
@@ -430,7 +431,7 @@
   for (size_t i = 0; i < r->helper_count; i++)
     {
       struct helper *h = &r->helpers[i];
-      bool probe = r->helpers_enabled && now_ms - h->sent_ms >= HELPER_PROBE_MS;
+      bool probe = r->helpers_enabled && now_ms - h->last_batch_ms >= HELPER_PROBE_MS;
       if (h->connected && (h->items.count > 0 || probe))
         send_batch (r, h, now_ms);
     }
--- a/src/workflow/order_relay.h
+++ b/src/workflow/order_relay.h
@@ -41,16 +41,14 @@
 struct order_relay *order_relay_open (const struct order_relay_config *config); /* Copies CONFIG. */
 void order_relay_close (struct order_relay *r); /* Pending calls get no outcome. */
 struct worker_link *order_relay_link (struct order_relay *r);
-void order_relay_set_outcome_handler (
-    struct order_relay *r, worker_outcome_fn *outcome,
-    void *arg); /* For outcomes from helpers; set before the first order. */
+void order_relay_set_outcome_handler (struct order_relay *r, worker_outcome_fn *outcome,
+                                      void *arg); /* From helpers; set before any order. */
 void order_relay_peer (struct order_relay *r, uint64_t node, const char *zone,
                        bool connected); /* A core VM connected or disconnected. */
 void order_relay_receive (struct order_relay *r, uint64_t node,
                           const answer_batch *batch); /* Handles answers of a helper. */
 void order_relay_tick (struct order_relay *r,
                        size_t workers); /* WORKERS known to this leader, 0 while not leading. */
-void
-order_relay_flush (struct order_relay *r); /* Sends queued orders, at the end of a loop turn. */
+void order_relay_flush (struct order_relay *r); /* Sends what is queued; at the end of a turn. */
 
 #endif
--- a/src/workflow/order_server.h
+++ b/src/workflow/order_server.h
@@ -27,9 +27,8 @@
 };
 
 struct order_server *order_server_open (const struct order_server_config *config);
-void
-order_server_close (struct order_server *s); /* Call after closing the link; drops pending calls. */
-void order_server_stop (struct order_server *s); /* Tells leaders to send no more orders. */
+void order_server_close (struct order_server *s); /* After the link; drops pending calls. */
+void order_server_stop (struct order_server *s);  /* Tells leaders to send no more orders. */
 void order_server_receive (struct order_server *s, uint64_t node,
                            const order_batch *batch); /* Executes orders of the leader on NODE. */
 worker_outcome_fn order_server_outcome;               /* Outcome of an order given to the link. */
--- a/src/workflow/seeded_group.c
+++ b/src/workflow/seeded_group.c
@@ -27,8 +27,8 @@
 struct peer_activity
 {
   uint64_t node;
-  int64_t heard_ms;  /* last time it counted as active */
-  int64_t joined_ms; /* last join request; 0 if none */
+  int64_t last_active_ms;  /* last time it counted as active */
+  int64_t join_request_ms; /* last one; 0 if none */
 };
 
 struct seeded_group
@@ -267,7 +267,7 @@
     if (s->activity[i].node == node)
       return &s->activity[i];
   size_t i = s->activity_count < PEER_MAX_MEMBERS ? s->activity_count++ : PEER_MAX_MEMBERS - 1;
-  s->activity[i] = (struct peer_activity){ .node = node, .heard_ms = first_ms };
+  s->activity[i] = (struct peer_activity){ .node = node, .last_active_ms = first_ms };
   return &s->activity[i];
 }
 
@@ -280,7 +280,7 @@
     {
       struct peer_activity *activity = find_activity (s, stats.peers[i].node, s->leading_since_ms);
       if (stats.peers[i].active)
-        activity->heard_ms = now_ms;
+        activity->last_active_ms = now_ms;
     }
 }
 
@@ -293,15 +293,16 @@
   for (u_int i = 0; i < members->members.members_len; i++)
     {
       const raft_member *m = &members->members.members_val[i];
-      int64_t heard_ms
-          = m->node == s->node ? now_ms : find_activity (s, m->node, s->leading_since_ms)->heard_ms;
+      int64_t last_active_ms
+          = m->node == s->node ? now_ms
+                               : find_activity (s, m->node, s->leading_since_ms)->last_active_ms;
       out[n++] = (struct plan_member){ .node = m->node,
                                        .voter = m->voter,
-                                       .silent_ms = now_ms - heard_ms };
+                                       .silent_ms = now_ms - last_active_ms };
     }
   for (size_t i = 0; i < s->activity_count && n < PEER_MAX_MEMBERS; i++)
     if (!raft_members_find (members, s->activity[i].node) && s->activity[i].node != s->node
-        && now_ms - s->activity[i].joined_ms < JOIN_REQUEST_VALID_MS)
+        && now_ms - s->activity[i].join_request_ms < JOIN_REQUEST_VALID_MS)
       out[n++] = (struct plan_member){ .node = s->activity[i].node };
   return n;
 }
@@ -365,7 +366,7 @@
     return 0;
   log_event (LOG_INFO, "join-requested", "peer=%s", ip);
   add_peer (s, ip);
-  find_activity (s, node, now_ms)->joined_ms = now_ms;
+  find_activity (s, node, now_ms)->join_request_ms = now_ms;
   return 0;
 }
 
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -206,9 +206,9 @@
 static void
 check_placement (struct workflow_service *s, int64_t now_ms)
 {
-  int64_t took_ms = now_ms - s->round_began_ms;
+  int64_t duration_ms = now_ms - s->round_began_ms;
   uint64_t to = group_completed_by (s->group);
-  if (to == 0 || !leader_placement_round (&s->placement, now_ms, took_ms))
+  if (to == 0 || !leader_placement_round (&s->placement, now_ms, duration_ms))
     return;
   log_event (LOG_INFO, "leadership-moves",
              "to=%llu reason=\"quorum rounds are slow\" shortest_ms=%lld rounds=%u",
--- a/tests/test_leader_placement.c
+++ b/tests/test_leader_placement.c
@@ -32,8 +32,8 @@
           order[at] = i;
         }
       int completes = order[count / 2];
-      int64_t took_ms = 2 * (int64_t)latency_ms[leader][completes] + now_ms % 7;
-      if (!leader_placement_round (&places[leader], now_ms, took_ms))
+      int64_t duration_ms = 2 * (int64_t)latency_ms[leader][completes] + now_ms % 7;
+      if (!leader_placement_round (&places[leader], now_ms, duration_ms))
         continue;
       leader = completes;
       leader_placement_elected (&places[leader]);
