--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -37,9 +37,9 @@
 #include "held_polls.h"     /* pure: polls that wait for commands */
 #include "home_cell.h"      /* pure: home of a request id */
 #include "interference.h"   /* pure: harm per service and class */
-#include "order.h"          /* pure: shares and deadlines */
 #include "placement.h"      /* pure: which worker */
 #include "scheduler.h"      /* pure: what runs where */
+#include "task_queue.h"     /* pure: shares and deadlines */
 #include "worker_health.h"  /* pure: bad workers and bad jobs */
 
 /* Workflow: jobs with steps on called workers.  */
--- a/src/scheduler/eviction.c
+++ b/src/scheduler/eviction.c
@@ -4,59 +4,61 @@
 
 #define SLOTS 12
 #define SLOT_MS (EVICTION_WINDOW_MS / SLOTS)
-/* Placing, starting and warming up again: about 5 s of one core.  */
+/* Placing, starting and warming up a task again costs about 5 s of one core.  */
 #define RESTART_CORE_MS 5000.0
-#define DEADLINE_FACTOR 8.0
-#define REPEAT_FACTOR 0.5 /* per earlier eviction, so that no task is always the victim */
-#define HARM_RELIEF 4.0
+#define NEAR_DEADLINE_FACTOR 8.0
+#define REPEATED_EVICTION_FACTOR                                                                   \
+  0.5 /* per earlier eviction, so that the same task is not always chosen */
+#define INTERFERENCE_DISCOUNT 4.0
 
 double
 eviction_cost (const struct eviction_candidate *c)
 {
   double cost = RESTART_CORE_MS + c->lost_core_ms;
-  cost *= 1 + REPEAT_FACTOR * c->evictions;
+  cost *= 1 + REPEATED_EVICTION_FACTOR * c->evictions;
   if (c->near_deadline)
-    cost *= DEADLINE_FACTOR;
-  return cost / (1 + HARM_RELIEF * c->harm);
+    cost *= NEAR_DEADLINE_FACTOR;
+  return cost / (1 + INTERFERENCE_DISCOUNT * c->interference);
 }
 
 static uint64_t
-useful (uint64_t size, uint64_t missing)
+smaller (uint64_t size, uint64_t shortfall)
 {
-  return size < missing ? size : missing;
+  return size < shortfall ? size : shortfall;
 }
 
-/* How much of what is missing the candidate frees, as the sum of fractions.  */
+/* Fraction of the shortfall that the candidate frees, summed over the resources.  */
 static double
-gain (const struct eviction_candidate *c, const struct order_amount *missing)
+freed_fraction (const struct eviction_candidate *c, const struct resource_amount *shortfall)
 {
   double g = 0;
-  if (missing->millicores)
-    g += (double)useful (c->size.millicores, missing->millicores) / (double)missing->millicores;
-  if (missing->memory_mb)
-    g += (double)useful (c->size.memory_mb, missing->memory_mb) / (double)missing->memory_mb;
-  if (missing->accelerators)
-    g += (double)useful (c->size.accelerators, missing->accelerators)
-         / (double)missing->accelerators;
+  if (shortfall->millicores)
+    g += (double)smaller (c->size.millicores, shortfall->millicores)
+         / (double)shortfall->millicores;
+  if (shortfall->memory_mb)
+    g += (double)smaller (c->size.memory_mb, shortfall->memory_mb) / (double)shortfall->memory_mb;
+  if (shortfall->accelerators)
+    g += (double)smaller (c->size.accelerators, shortfall->accelerators)
+         / (double)shortfall->accelerators;
   return g;
 }
 
 static bool
-covered (const struct order_amount *missing)
+is_met (const struct resource_amount *shortfall)
 {
-  return missing->millicores == 0 && missing->memory_mb == 0 && missing->accelerators == 0;
+  return shortfall->millicores == 0 && shortfall->memory_mb == 0 && shortfall->accelerators == 0;
 }
 
 static void
-subtract (struct order_amount *missing, const struct order_amount *size)
+subtract (struct resource_amount *shortfall, const struct resource_amount *size)
 {
-  missing->millicores -= useful (size->millicores, missing->millicores);
-  missing->memory_mb -= useful (size->memory_mb, missing->memory_mb);
-  missing->accelerators -= useful (size->accelerators, missing->accelerators);
+  shortfall->millicores -= smaller (size->millicores, shortfall->millicores);
+  shortfall->memory_mb -= smaller (size->memory_mb, shortfall->memory_mb);
+  shortfall->accelerators -= smaller (size->accelerators, shortfall->accelerators);
 }
 
 static bool
-chosen (const struct eviction_choice *out, size_t i)
+is_chosen (const struct eviction_choice *out, size_t i)
 {
   for (size_t k = 0; k < out->count; k++)
     if (out->victims[k] == i)
@@ -65,26 +67,27 @@
 }
 
 static double
-rank (const struct eviction_candidate *c, const struct order_amount *missing, bool newest_first)
+rank (const struct eviction_candidate *c, const struct resource_amount *shortfall,
+      bool newest_first)
 {
-  double g = gain (c, missing);
+  double g = freed_fraction (c, shortfall);
   if (g <= 0)
     return 0;
   return newest_first ? 1 + (double)c->started_ms : g / eviction_cost (c);
 }
 
-/* Drops victims that a later, larger one made needless; the dearest are looked at first.  */
+/* Removes victims that a later, larger victim made redundant, in the order of choice.  */
 static void
-drop_needless (const struct eviction_candidate *cs, const struct order_amount *need,
-               struct eviction_choice *out)
+remove_redundant_victims (const struct eviction_candidate *candidates,
+                          const struct resource_amount *need, struct eviction_choice *out)
 {
   for (size_t i = 0; i < out->count;)
     {
-      struct order_amount missing = *need;
+      struct resource_amount shortfall = *need;
       for (size_t k = 0; k < out->count; k++)
         if (k != i)
-          subtract (&missing, &cs[out->victims[k]].size);
-      if (!covered (&missing))
+          subtract (&shortfall, &candidates[out->victims[k]].size);
+      if (!is_met (&shortfall))
         i++;
       else
         out->victims[i] = out->victims[--out->count];
@@ -92,18 +95,18 @@
 }
 
 bool
-eviction_choose (const struct eviction_candidate *cs, size_t count, const struct order_amount *need,
-                 bool newest_first, struct eviction_choice *out)
+eviction_choose (const struct eviction_candidate *candidates, size_t count,
+                 const struct resource_amount *need, bool newest_first, struct eviction_choice *out)
 {
-  struct order_amount missing = *need;
+  struct resource_amount shortfall = *need;
   memset (out, 0, sizeof *out);
-  while (!covered (&missing) && out->count < EVICTION_MAX_VICTIMS)
+  while (!is_met (&shortfall) && out->count < EVICTION_MAX_VICTIMS)
     {
       size_t best = count;
       double best_rank = 0;
       for (size_t i = 0; i < count; i++)
         {
-          double r = chosen (out, i) ? 0 : rank (&cs[i], &missing, newest_first);
+          double r = is_chosen (out, i) ? 0 : rank (&candidates[i], &shortfall, newest_first);
           if (r > best_rank)
             {
               best = i;
@@ -113,18 +116,18 @@
       if (best == count)
         return false;
       out->victims[out->count++] = best;
-      subtract (&missing, &cs[best].size);
+      subtract (&shortfall, &candidates[best].size);
     }
-  if (!covered (&missing))
+  if (!is_met (&shortfall))
     return false;
-  drop_needless (cs, need, out);
+  remove_redundant_victims (candidates, need, out);
   for (size_t i = 0; i < out->count; i++)
-    out->cost += eviction_cost (&cs[out->victims[i]]);
+    out->cost += eviction_cost (&candidates[out->victims[i]]);
   return true;
 }
 
 static void
-advance (struct eviction_budget *b, int64_t now_ms)
+advance_window (struct eviction_budget *b, int64_t now_ms)
 {
   int64_t slot = now_ms / SLOT_MS;
   if (slot - b->slot >= SLOTS || slot < b->slot)
@@ -136,19 +139,19 @@
 }
 
 uint32_t
-eviction_spent (const struct eviction_budget *b, int64_t now_ms)
+eviction_budget_used (const struct eviction_budget *b, int64_t now_ms)
 {
   struct eviction_budget copy = *b;
   uint32_t sum = 0;
-  advance (&copy, now_ms);
+  advance_window (&copy, now_ms);
   for (int i = 0; i < SLOTS; i++)
     sum += copy.slots[i];
   return sum;
 }
 
 void
-eviction_spend (struct eviction_budget *b, int64_t now_ms)
+eviction_budget_record (struct eviction_budget *b, int64_t now_ms)
 {
-  advance (b, now_ms);
+  advance_window (b, now_ms);
   b->slots[b->slot % SLOTS]++;
 }
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -7,28 +7,28 @@
 #include "log.h"
 
 #define MAX_BATCH 512
-#define SCAN_MS 250
-#define DECAY_MS 60000
-/* Confidence in an interference estimate halves in about 20 minutes without samples.  */
+#define WORKER_SCAN_PERIOD_MS 250
+#define MODEL_DECAY_PERIOD_MS 60000
+/* Halves the confidence in an interference estimate in about 20 minutes without samples.  */
 #define DECAY_FACTOR 0.966
-#define MAX_IN_OUTBOX 8192
+#define MAX_OUTBOX_COMMANDS 8192
 
 bool
-sched_policy (const struct scheduler *s, unsigned bit)
+sched_has_policy (const struct scheduler *s, unsigned bit)
 {
   return (s->config.policy & bit) != 0;
 }
 
 bool
-sched_permit (const struct scheduler *s)
+sched_may_start (const struct scheduler *s)
 {
   return s->leading && !s->out && s->permit_until_ms > s->now_ms;
 }
 
 void
-sched_fault (const char *rule)
+sched_invariant_failed (const char *rule)
 {
-  log_line (LOG_ERROR, "scheduler: broken rule: %s", rule);
+  log_line (LOG_ERROR, "scheduler: invalid state: %s", rule);
   abort ();
 }
 
@@ -50,7 +50,7 @@
 }
 
 struct sched_customer *
-sched_customer (struct scheduler *s, const char *name)
+sched_get_customer (struct scheduler *s, const char *name)
 {
   uint64_t hash = cell_hash_names (name, "");
   struct cell_node *n = cell_map_first (&s->customer_map, hash);
@@ -70,7 +70,7 @@
 }
 
 struct sched_class *
-sched_class (struct scheduler *s, struct sched_customer *customer, const cell_job_spec *spec)
+sched_get_class (struct scheduler *s, struct sched_customer *customer, const cell_job_spec *spec)
 {
   char key[2 * CELL_NAME_BYTES + 8];
   bool urgent = spec->kind == CELL_URGENT;
@@ -93,7 +93,7 @@
   c->id = urgent ? interference_service (s->model, strchr (key, ' ') + 1)
                  : interference_class (s->model, strchr (key, ' ') + 1);
   cell_map_add (&s->class_map, &c->node, hash);
-  order_heap_init (&c->queue);
+  task_queue_init (&c->queue);
   LIST_INSERT_HEAD (&customer->classes, c, link);
   return c;
 }
@@ -191,25 +191,25 @@
       if (!st || st->in_flight != id)
         continue;
       st->in_flight = 0;
-      sched_settle (s, st);
+      sched_command_done (s, st);
     }
   free_proposal (s, p);
 }
 
-/* The cell's observer.  */
+/* Observer of the cell.  */
 
 static void
 on_task_changed (void *ctx, struct cell_task *t)
 {
   struct scheduler *s = ctx;
   if (s->leading)
-    sched_sync (s, t);
+    sched_sync_task (s, t);
 }
 
 static void
 on_task_removed (void *ctx, struct cell_task *t)
 {
-  sched_drop (ctx, t);
+  sched_drop_task (ctx, t);
 }
 
 static void
@@ -221,16 +221,16 @@
 }
 
 static void
-clear (struct scheduler *s)
+clear_state (struct scheduler *s)
 {
   struct cell_job *j;
   struct cell_task *t;
   TAILQ_FOREACH (j, &s->cell->job_list, link)
   STAILQ_FOREACH (t, &j->tasks, link)
-  sched_drop (s, t);
+  sched_drop_task (s, t);
   TAILQ_FOREACH (j, &s->cell->finished, link)
   STAILQ_FOREACH (t, &j->tasks, link)
-  sched_drop (s, t);
+  sched_drop_task (s, t);
   free_outbox (s);
   struct sched_proposal *p;
   while ((p = TAILQ_FIRST (&s->proposals)))
@@ -241,20 +241,20 @@
 }
 
 static void
-rebuild (struct scheduler *s)
+rebuild_state (struct scheduler *s)
 {
   struct cell_job *j;
   struct cell_task *t;
   TAILQ_FOREACH (j, &s->cell->job_list, link)
   STAILQ_FOREACH (t, &j->tasks, link)
-  sched_sync (s, t);
+  sched_sync_task (s, t);
   s->round_needed = true;
 }
 
 static void
 on_unloading (void *ctx)
 {
-  clear (ctx);
+  clear_state (ctx);
 }
 
 static void
@@ -262,7 +262,7 @@
 {
   struct scheduler *s = ctx;
   if (s->leading)
-    rebuild (s);
+    rebuild_state (s);
 }
 
 struct scheduler *
@@ -277,9 +277,9 @@
   cell_map_init (&s->class_map);
   LIST_INIT (&s->customers);
   TAILQ_INIT (&s->ready);
-  TAILQ_INIT (&s->waiting);
+  TAILQ_INIT (&s->reservations);
   TAILQ_INIT (&s->proposals);
-  order_heap_init (&s->delayed);
+  task_queue_init (&s->delayed);
   s->model = interference_new ();
   s->racks = xcalloc (SCHED_MAX_RACKS, sizeof *s->racks);
   s->rack_counts = xcalloc (SCHED_MAX_RACKS, sizeof *s->rack_counts);
@@ -296,7 +296,7 @@
     {
       struct sched_class *c = LIST_FIRST (&customer->classes);
       LIST_REMOVE (c, link);
-      order_heap_close (&c->queue);
+      task_queue_close (&c->queue);
       free (c);
     }
   LIST_REMOVE (customer, link);
@@ -306,14 +306,14 @@
 void
 scheduler_free (struct scheduler *s)
 {
-  clear (s);
+  clear_state (s);
   cell_set_observer (s->cell, NULL);
   while (!LIST_EMPTY (&s->customers))
     free_customer (LIST_FIRST (&s->customers));
   cell_map_close (&s->worker_map);
   cell_map_close (&s->customer_map);
   cell_map_close (&s->class_map);
-  order_heap_close (&s->delayed);
+  task_queue_close (&s->delayed);
   interference_free (s->model);
   free (s->workers);
   free (s->rows);
@@ -322,7 +322,7 @@
   free (s->peers);
   free (s->outbox);
   free (s->commands);
-  free (s->aside);
+  free (s->skipped);
   free (s);
 }
 
@@ -334,7 +334,7 @@
   s->now_ms = now_ms;
   if (leader == s->leading)
     return;
-  clear (s);
+  clear_state (s);
   s->leading = leader;
   /* Without a permit of its own a new leader renews no task that may be started elsewhere.  */
   s->permit_until_ms = now_ms - CELL_CUT_OFF_GRACE_MS;
@@ -343,7 +343,7 @@
   if (!leader)
     return;
   cell_set_leader_time (s->cell, now_ms);
-  rebuild (s);
+  rebuild_state (s);
 }
 
 void
@@ -353,7 +353,7 @@
     s->confirmed_until_ms = until_ms;
 }
 
-/* Starts that waited for a permit go out when it comes back.  */
+/* Starts that waited for a permit are sent as soon as it is renewed.  */
 void
 scheduler_permit (struct scheduler *s, int64_t until_ms)
 {
@@ -405,19 +405,19 @@
     return;
   if (s->permit_until_ms <= s->now_ms)
     s->permit_lapsed = true;
-  if (s->now_ms - s->scan_ms >= SCAN_MS)
+  if (s->now_ms - s->scan_ms >= WORKER_SCAN_PERIOD_MS)
     {
       s->scan_ms = s->now_ms;
       sched_scan_workers (s);
       sched_guard_plans (s);
     }
-  if (s->now_ms - s->decay_ms >= DECAY_MS)
+  if (s->now_ms - s->decay_ms >= MODEL_DECAY_PERIOD_MS)
     {
       s->decay_ms = s->now_ms;
       interference_decay (s->model, DECAY_FACTOR);
     }
   if (s->out)
     sched_guard_drain (s);
-  if (s->outbox_count - s->outbox_done < MAX_IN_OUTBOX)
+  if (s->outbox_count - s->outbox_done < MAX_OUTBOX_COMMANDS)
     sched_place_round (s);
 }
--- a/src/scheduler/scheduler_answer.c
+++ b/src/scheduler/scheduler_answer.c
@@ -1,11 +1,11 @@
-/* Answers to polls: the commands follow from comparing the log with the worker's list.  */
+/* Answers to polls: commands result from comparing the log with the worker's task list.  */
 #include <string.h>
 
 #include "scheduler_internal.h"
 
-/* A command that the next poll does not show as carried out is repeated after this time.  */
+/* A command is repeated after this time unless a poll shows that it was executed.  */
 #define RETRY_MS 500
-#define LIMIT_REPEATS 3
+#define THROTTLE_REPEATS 3
 #define PREEMPT_GRACE_MS 500
 #define MOVE_GRACE_MS 10000
 #define DRAIN_GRACE_MS 30000
@@ -27,17 +27,17 @@
   return c;
 }
 
-/* A leader that was replaced without noticing may lag behind the log.  It must not have a report
-   dropped that the log lacks, so it acts only on epochs that its own log has moved past, and on
-   tasks it does not know only while a quorum confirms it.  */
+/* A leader that was replaced without noticing may lag behind the log.  It must not make a worker
+   drop a report that the log lacks.  It therefore acts only on epochs that its own log has moved
+   past, and on tasks it does not know only while a quorum confirms it.  */
 static void
-answer_unplaced (struct scheduler *s, const struct sched_worker *w)
+answer_unmatched (struct scheduler *s, const struct sched_worker *w)
 {
   bool confirmed = s->confirmed_until_ms >= s->now_ms;
-  for (size_t i = 0; i < w->unplaced_count; i++)
+  for (size_t i = 0; i < w->unmatched_count; i++)
     {
-      const struct sched_unplaced *g = &w->unplaced_tasks[i];
-      if (g->past || (g->unknown && confirmed))
+      const struct sched_unmatched *g = &w->unmatched_tasks[i];
+      if (g->superseded || (g->unknown && confirmed))
         add_command (s, g->running ? WORKER_STOP : WORKER_FORGET, g->task, g->epoch);
     }
 }
@@ -45,8 +45,8 @@
 static bool
 other_epoch_runs (const struct sched_worker *w, uint64_t task)
 {
-  for (size_t i = 0; i < w->unplaced_count; i++)
-    if (w->unplaced_tasks[i].running && w->unplaced_tasks[i].task == task)
+  for (size_t i = 0; i < w->unmatched_count; i++)
+    if (w->unmatched_tasks[i].running && w->unmatched_tasks[i].task == task)
       return true;
   return false;
 }
@@ -65,9 +65,9 @@
 answer_start (struct scheduler *s, struct sched_worker *w, struct sched_task *st)
 {
   const struct cell_task *t = st->t;
-  if (!sched_permit (s) || t->incarnation != w->incarnation || other_epoch_runs (w, t->id))
+  if (!sched_may_start (s) || t->incarnation != w->incarnation || other_epoch_runs (w, t->id))
     return;
-  /* A stop or loss of this placement may be in the log already.  */
+  /* A stop or loss of this placement may already be in the log.  */
   if (st->in_flight)
     return;
   if (!due (s, w, &st->start_sent_ms))
@@ -82,7 +82,7 @@
   s->stats.starts++;
 }
 
-/* Time to write a checkpoint before the stop, 0 when it would not be ready in time.  */
+/* Time to write a checkpoint before the stop; 0 when the checkpoint would take too long.  */
 static uint32_t
 stop_grace (const struct cell_task *t)
 {
@@ -119,7 +119,7 @@
   if (st->limit_sent != st->limit_millicores)
     {
       st->limit_sent = st->limit_millicores;
-      st->limit_repeats = LIMIT_REPEATS;
+      st->limit_repeats = THROTTLE_REPEATS;
     }
   else if (st->limit_repeats == 0)
     return;
@@ -133,7 +133,7 @@
 answer_task (struct scheduler *s, struct sched_worker *w, struct sched_task *st)
 {
   const struct cell_task *t = st->t;
-  if (st->held_epoch == 0 || !cell_task_on_worker (t))
+  if (st->allocated_epoch == 0 || !cell_task_on_worker (t))
     return;
   bool listed = st->listed_epoch == t->epoch;
   if (listed && st->listed >= CELL_REPORT_DONE)
@@ -146,7 +146,7 @@
     answer_running (s, st);
 }
 
-/* True while a task whose standby copy owns the work has not stopped: its lease must run out.  */
+/* True until every task whose standby copy owns the work has stopped: its lease must expire.  */
 static bool
 runs_closed_task (const struct sched_worker *w)
 {
@@ -174,7 +174,7 @@
     TAILQ_REMOVE (&s->ready, w, ready_link);
   w->ready = false;
   s->command_count = 0;
-  answer_unplaced (s, w);
+  answer_unmatched (s, w);
   struct sched_task *task;
   TAILQ_FOREACH (task, &w->tasks, link)
   answer_task (s, w, task);
--- a/src/scheduler/scheduler_guard.c
+++ b/src/scheduler/scheduler_guard.c
@@ -1,42 +1,43 @@
-/* Guards: harm to urgent tasks, oversize tasks, lowered plans, data centre out.  */
+/* Enforcement: slowdown of urgent tasks, oversize tasks, lowered plans, data centre out.  */
 #include <math.h>
 #include <string.h>
 
 #include "scheduler_internal.h"
 
-/* Hysteresis: act above 1.15 in two samples, lift below 1.06 in four.  The aim is 1.2.  */
-#define SLOW_MILLI 1150
-#define CALM_MILLI 1060
-#define VERY_SLOW_MILLI 1500
-#define SLOW_SAMPLES 2
-#define CALM_SAMPLES 4
-#define SETTLE_MS 1000 /* between an action and the first sample that can show its effect */
+/* Hysteresis: throttle above 1.15 in two samples, relax below 1.06 in four.  Objective: 1.2.  */
+#define THROTTLE_SLOWDOWN_MILLI 1150
+#define RELAX_SLOWDOWN_MILLI 1060
+#define SEVERE_SLOWDOWN_MILLI 1500
+#define THROTTLE_SAMPLES 2
+#define RELAX_SAMPLES 4
+#define ACTION_SETTLE_MS 1000 /* from an action to the first sample that can show its effect */
 #define MAX_ARRIVAL_LIMITS 8
-#define LEAST_KEPT 0.25 /* of its processors, for a task throttled by the estimate */
-#define OVERSIZE 1.15
-#define OVER_SAMPLES 2
-#define EVICT_SAMPLES 6
-#define MIN_LIMIT 100
+#define MIN_KEPT_SHARE 0.25 /* of its processors, for a task throttled by the estimate */
+#define OVERSIZE_FACTOR 1.15
+#define OVERSIZE_SAMPLES 2
+#define OVERSIZE_EVICT_SAMPLES 6
+#define MIN_LIMIT_MILLICORES 100
 #define MIN_CHECKPOINT_MS 60000
 #define MAX_CHECKPOINT_MS 600000
-#define CHECKPOINT_COST 20 /* checkpoints take at most a twentieth of the time */
+#define CHECKPOINT_INTERVAL_FACTOR 20 /* checkpoints take at most 1/20 of the time */
 #define PREEMPT_GRACE_MS 500
 #define NEAR_DEADLINE_MS 60000
-#define DRAIN_MS 500
+#define DRAIN_PERIOD_MS 500
 
 void
-sched_limit (struct scheduler *s, struct sched_task *st, enum sched_limit why, uint32_t millicores)
+sched_throttle (struct scheduler *s, struct sched_task *st, enum sched_limit_reason reason,
+                uint32_t millicores)
 {
   struct sched_worker *w = st->worker;
-  if (why == SCHED_LIMIT_NONE)
+  if (reason == SCHED_LIMIT_NONE)
     millicores = 0;
-  else if (millicores < MIN_LIMIT)
-    millicores = MIN_LIMIT;
+  else if (millicores < MIN_LIMIT_MILLICORES)
+    millicores = MIN_LIMIT_MILLICORES;
   if (st->limit_millicores == millicores)
     return;
   if (millicores)
     s->stats.throttles++;
-  st->limit = why;
+  st->limit = reason;
   st->limit_millicores = millicores;
   sched_mix_remove (w, st);
   sched_mix_add (w, st);
@@ -47,9 +48,9 @@
 sched_may_evict (const struct scheduler *s, const struct sched_task *st, uint32_t planned)
 {
   uint32_t budget = st->customer->quota.evictions_per_hour;
-  if (budget == UINT32_MAX || !st->customer->known || sched_policy (s, SCHEDULER_EVICT_NEWEST))
+  if (budget == UINT32_MAX || !st->customer->known || sched_has_policy (s, SCHEDULER_EVICT_NEWEST))
     return true;
-  return eviction_spent (&st->customer->budget, s->now_ms) + planned < budget;
+  return eviction_budget_used (&st->customer->budget, s->now_ms) + planned < budget;
 }
 
 static bool
@@ -62,43 +63,44 @@
 }
 
 void
-sched_candidate (struct scheduler *s, const struct sched_worker *w, struct sched_task *st,
-                 struct eviction_candidate *out)
+sched_eviction_candidate (struct scheduler *s, const struct sched_worker *w, struct sched_task *st,
+                          struct eviction_candidate *out)
 {
   const struct cell_task *t = st->t;
   uint32_t checkpoint_ms = t->job->spec.checkpoint_ms;
   memset (out, 0, sizeof *out);
-  out->size = st->hold;
+  out->size = st->allocated;
   out->owner = st;
   out->evictions = t->evictions;
   out->started_ms = st->run_from_ms;
   int64_t since = st->checkpoint_ms > st->run_from_ms ? st->checkpoint_ms : st->run_from_ms;
   bool quick = checkpoint_ms > 0 && checkpoint_ms <= PREEMPT_GRACE_MS;
   if (since > 0 && !quick)
-    out->lost_core_ms = (double)(s->now_ms - since) * (double)st->hold.millicores / 1000.0;
-  out->harm = sched_harm_of (s, w, st);
+    out->lost_core_ms = (double)(s->now_ms - since) * (double)st->allocated.millicores / 1000.0;
+  out->interference = sched_task_interference (s, w, st);
   out->near_deadline = near_deadline (s, st);
 }
 
-/* The running batch task that adds most to the slowdown; SPARE_DEADLINES passes over those that
-   have a deadline.  */
+/* The running batch task that adds most to the slowdown; SPARE_DEADLINES skips tasks that have a
+   deadline.  */
 static struct sched_task *
 worst_neighbour (struct scheduler *s, const struct sched_worker *w, bool spare_deadlines)
 {
   struct sched_task *worst = NULL;
-  double worst_harm = 0;
+  double worst_interference = 0;
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
-    if (sched_is_urgent (st) || st->t->state != CELL_RUNNING || st->want_stop != CELL_STOP_NONE)
+    if (sched_is_urgent (st) || st->t->state != CELL_RUNNING
+        || st->requested_stop != CELL_STOP_NONE)
       continue;
     if (spare_deadlines && st->t->job->deadline_ms > 0)
       continue;
-    double harm = sched_harm_of (s, w, st);
-    if (harm > worst_harm)
+    double interference = sched_task_interference (s, w, st);
+    if (interference > worst_interference)
       {
         worst = st;
-        worst_harm = harm;
+        worst_interference = interference;
       }
   }
   return worst;
@@ -112,18 +114,20 @@
     return;
   w->action_at_ms = s->now_ms;
   w->slow_samples = 0;
-  uint32_t hold = (uint32_t)st->hold.millicores;
-  if (st->limit != SCHED_LIMIT_HARM)
-    sched_limit (s, st, SCHED_LIMIT_HARM, slowdown > VERY_SLOW_MILLI ? hold / 4 : hold / 2);
+  uint32_t allocated = (uint32_t)st->allocated.millicores;
+  if (st->limit != SCHED_LIMIT_INTERFERENCE)
+    sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE,
+                    slowdown > SEVERE_SLOWDOWN_MILLI ? allocated / 4 : allocated / 2);
   else if (sched_may_evict (s, st, 0))
     sched_stop (s, st, CELL_STOP_HARM);
   else
-    sched_limit (s, st, SCHED_LIMIT_HARM, hold / 8);
+    sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE, allocated / 8);
 }
 
 /* Largest slowdown that ST adds to one service on W.  */
 static double
-worst_harm_of (const struct scheduler *s, const struct sched_worker *w, const struct sched_task *st)
+worst_interference_of (const struct scheduler *s, const struct sched_worker *w,
+                       const struct sched_task *st)
 {
   double total = (double)w->total.millicores;
   double worst = 0;
@@ -133,41 +137,41 @@
   return worst * st->mix_use / total;
 }
 
-/* An urgent task had to start beside noisy ones: they are throttled by the estimate, before the
-   first lagging sample shows the harm, and no further than the estimate asks for.  */
+/* Throttles noisy tasks beside a new urgent task by the estimate, before the first delayed sample
+   shows a slowdown, and no further than the estimate requires.  */
 void
-sched_guard_arrival (struct scheduler *s, struct sched_worker *w)
+sched_throttle_for_arrival (struct scheduler *s, struct sched_worker *w)
 {
   for (int i = 0; i < MAX_ARRIVAL_LIMITS; i++)
     {
-      double excess = sched_worst_predicted (s, w) - INTERFERENCE_TARGET;
+      double excess = sched_worst_predicted (s, w) - INTERFERENCE_SLOWDOWN_LIMIT;
       struct sched_task *st = excess > 0 ? worst_neighbour (s, w, true) : NULL;
-      double harm = st ? worst_harm_of (s, w, st) : 0;
-      if (!st || harm <= 0 || st->limit == SCHED_LIMIT_HARM)
+      double interference = st ? worst_interference_of (s, w, st) : 0;
+      if (!st || interference <= 0 || st->limit == SCHED_LIMIT_INTERFERENCE)
         return;
-      double keep = fmax (1 - excess / harm, LEAST_KEPT);
-      sched_limit (s, st, SCHED_LIMIT_HARM, (uint32_t)(keep * st->mix_use));
+      double keep = fmax (1 - excess / interference, MIN_KEPT_SHARE);
+      sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE, (uint32_t)(keep * st->mix_use));
       w->action_at_ms = s->now_ms;
     }
 }
 
-/* Lifts one throttle, if the estimate says that the urgent tasks can bear it.  */
+/* Lifts one throttle if the predicted slowdown stays within the limit.  */
 static void
 relax (struct scheduler *s, struct sched_worker *w)
 {
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
-  if (st->limit == SCHED_LIMIT_HARM)
+  if (st->limit == SCHED_LIMIT_INTERFERENCE)
     break;
   if (!st)
     return;
   w->action_at_ms = s->now_ms;
-  w->calm_samples = 0;
+  w->normal_samples = 0;
   sched_mix_remove (w, st);
-  bool bearable = sched_harm_batch (s, w, st) < PLACEMENT_REFUSED;
+  bool acceptable = sched_batch_interference (s, w, st) < PLACEMENT_REFUSED;
   sched_mix_add (w, st);
-  if (bearable)
-    sched_limit (s, st, SCHED_LIMIT_NONE, 0);
+  if (acceptable)
+    sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
 }
 
 static uint32_t
@@ -181,57 +185,57 @@
   return worst;
 }
 
-/* One action per lag: only samples taken after the last action count.  */
+/* One action per measurement delay: only samples taken after the last action count.  */
 static void
-guard_harm (struct scheduler *s, struct sched_worker *w, int64_t at_ms)
+guard_interference (struct scheduler *s, struct sched_worker *w, int64_t at_ms)
 {
   uint32_t worst = worst_slowdown (w);
-  if (worst == 0 || at_ms < w->action_at_ms + SETTLE_MS)
+  if (worst == 0 || at_ms < w->action_at_ms + ACTION_SETTLE_MS)
     return;
-  w->slow_samples = worst > SLOW_MILLI ? w->slow_samples + 1 : 0;
-  w->calm_samples = worst < CALM_MILLI ? w->calm_samples + 1 : 0;
-  if (w->slow_samples >= SLOW_SAMPLES)
+  w->slow_samples = worst > THROTTLE_SLOWDOWN_MILLI ? w->slow_samples + 1 : 0;
+  w->normal_samples = worst < RELAX_SLOWDOWN_MILLI ? w->normal_samples + 1 : 0;
+  if (w->slow_samples >= THROTTLE_SAMPLES)
     escalate (s, w, worst);
-  else if (w->calm_samples >= CALM_SAMPLES)
+  else if (w->normal_samples >= RELAX_SAMPLES)
     relax (s, w);
 }
 
-/* What the task holds is raised to what it uses while the worker has room.  */
+/* Raises the allocation of a task to its usage while the worker has free capacity.  */
 static bool
 grow_to_use (struct scheduler *s, struct sched_task *st)
 {
-  struct order_amount want = sched_need (s, st);
+  struct resource_amount want = sched_need (s, st);
   if (st->used_millicores > want.millicores)
     want.millicores = st->used_millicores;
   if (st->used_memory_mb > want.memory_mb)
     want.memory_mb = st->used_memory_mb;
-  if (!sched_grow (s, st, &want))
+  if (!sched_grow_allocation (s, st, &want))
     return false;
   if (st->limit == SCHED_LIMIT_SIZE)
-    sched_limit (s, st, SCHED_LIMIT_NONE, 0);
-  st->over_samples = 0;
+    sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
+  st->oversize_samples = 0;
   return true;
 }
 
-/* Oversize: hold more, else throttle, and at last evict.  */
+/* Oversize tasks are allocated more if possible, else throttled, and finally evicted.  */
 static void
 guard_size (struct scheduler *s, struct sched_task *st)
 {
-  bool processors = st->used_millicores > OVERSIZE * (double)st->hold.millicores;
-  bool memory = st->used_memory_mb > OVERSIZE * (double)st->hold.memory_mb;
+  bool processors = st->used_millicores > OVERSIZE_FACTOR * (double)st->allocated.millicores;
+  bool memory = st->used_memory_mb > OVERSIZE_FACTOR * (double)st->allocated.memory_mb;
   bool limited = st->limit == SCHED_LIMIT_SIZE;
   if (!processors && !memory && !limited)
     {
-      st->over_samples = 0;
+      st->oversize_samples = 0;
       return;
     }
-  if ((++st->over_samples >= OVER_SAMPLES || limited) && grow_to_use (s, st))
+  if ((++st->oversize_samples >= OVERSIZE_SAMPLES || limited) && grow_to_use (s, st))
     return;
-  if (st->over_samples >= OVER_SAMPLES && processors && st->limit == SCHED_LIMIT_NONE)
-    sched_limit (s, st, SCHED_LIMIT_SIZE, (uint32_t)st->hold.millicores);
+  if (st->oversize_samples >= OVERSIZE_SAMPLES && processors && st->limit == SCHED_LIMIT_NONE)
+    sched_throttle (s, st, SCHED_LIMIT_SIZE, (uint32_t)st->allocated.millicores);
   if (sched_is_urgent (st) || !sched_may_evict (s, st, 0) || (!processors && !memory))
     return;
-  if (st->over_samples >= (memory ? OVER_SAMPLES : EVICT_SAMPLES))
+  if (st->oversize_samples >= (memory ? OVERSIZE_SAMPLES : OVERSIZE_EVICT_SAMPLES))
     sched_stop (s, st, CELL_STOP_OVERSIZE);
 }
 
@@ -241,7 +245,7 @@
   uint32_t cost = st->t->job->spec.checkpoint_ms;
   if (cost == 0 || sched_is_urgent (st) || st->t->state != CELL_RUNNING || st->run_from_ms == 0)
     return;
-  int64_t interval = (int64_t)cost * CHECKPOINT_COST;
+  int64_t interval = (int64_t)cost * CHECKPOINT_INTERVAL_FACTOR;
   if (interval < MIN_CHECKPOINT_MS)
     interval = MIN_CHECKPOINT_MS;
   if (interval > MAX_CHECKPOINT_MS)
@@ -260,11 +264,11 @@
   if (st->listed_poll == w->sequence && st->listed == CELL_REPORT_RUNNING)
     {
       ask_checkpoint (s, st);
-      if (!sched_policy (s, SCHEDULER_NO_LEARNING))
+      if (!sched_has_policy (s, SCHEDULER_NO_LEARNING))
         guard_size (s, st);
     }
-  if (!sched_policy (s, SCHEDULER_NO_LEARNING))
-    guard_harm (s, w, s->now_ms - p->measured_ago_ms);
+  if (!sched_has_policy (s, SCHEDULER_NO_LEARNING))
+    guard_interference (s, w, s->now_ms - p->measured_ago_ms);
 }
 
 /* Lowered plans.  */
@@ -276,7 +280,7 @@
 }
 
 static bool
-above_plan (const struct sched_customer *c, const struct order_amount *used)
+above_plan (const struct sched_customer *c, const struct resource_amount *used)
 {
   const struct scheduler_quota *q = &c->quota;
   if (!c->known)
@@ -285,10 +289,11 @@
          || excess (used->accelerators, q->max_accelerators);
 }
 
-/* Throttles the batch tasks of C to RATIO, or lifts that when RATIO is 1.  Returns the batch task
-   that is cheapest to evict and takes what is stopping already off USED.  */
+/* Throttles the batch tasks of C to RATIO, or lifts that throttle when RATIO is 1.  Returns the
+   batch task that is cheapest to evict; subtracts tasks that are already stopping from USED.  */
 static struct sched_task *
-press (struct scheduler *s, const struct sched_customer *c, double ratio, struct order_amount *used)
+throttle_to_plan (struct scheduler *s, const struct sched_customer *c, double ratio,
+                  struct resource_amount *used)
 {
   struct sched_task *cheapest = NULL;
   double least = INFINITY;
@@ -297,21 +302,22 @@
       struct sched_task *st;
       TAILQ_FOREACH (st, &s->workers[i]->tasks, link)
       {
-        if (st->customer != c || sched_is_urgent (st) || st->held_epoch == 0)
+        if (st->customer != c || sched_is_urgent (st) || st->allocated_epoch == 0)
           continue;
-        if (st->t->state == CELL_STOPPING || st->want_stop != CELL_STOP_NONE)
+        if (st->t->state == CELL_STOPPING || st->requested_stop != CELL_STOP_NONE)
           {
-            used->millicores -= st->hold.millicores;
-            used->memory_mb -= st->hold.memory_mb;
-            used->accelerators -= st->hold.accelerators;
+            used->millicores -= st->allocated.millicores;
+            used->memory_mb -= st->allocated.memory_mb;
+            used->accelerators -= st->allocated.accelerators;
             continue;
           }
         if (ratio < 1 && (st->limit == SCHED_LIMIT_NONE || st->limit == SCHED_LIMIT_PLAN))
-          sched_limit (s, st, SCHED_LIMIT_PLAN, (uint32_t)(ratio * (double)st->hold.millicores));
+          sched_throttle (s, st, SCHED_LIMIT_PLAN,
+                          (uint32_t)(ratio * (double)st->allocated.millicores));
         else if (ratio >= 1 && st->limit == SCHED_LIMIT_PLAN)
-          sched_limit (s, st, SCHED_LIMIT_NONE, 0);
+          sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
         struct eviction_candidate e;
-        sched_candidate (s, s->workers[i], st, &e);
+        sched_eviction_candidate (s, s->workers[i], st, &e);
         if (eviction_cost (&e) < least)
           {
             least = eviction_cost (&e);
@@ -326,25 +332,25 @@
 guard_plan (struct scheduler *s, struct sched_customer *c)
 {
   bool is_above = above_plan (c, &c->used);
-  struct order_amount used = c->used;
-  if (!is_above && c->over_since_ms == 0)
+  struct resource_amount used = c->used;
+  if (!is_above && c->above_plan_since_ms == 0)
     return;
   if (!is_above)
     {
-      c->over_since_ms = 0;
-      press (s, c, 1, &used);
+      c->above_plan_since_ms = 0;
+      throttle_to_plan (s, c, 1, &used);
       return;
     }
-  if (c->over_since_ms == 0)
-    c->over_since_ms = s->now_ms;
+  if (c->above_plan_since_ms == 0)
+    c->above_plan_since_ms = s->now_ms;
   const struct scheduler_quota *q = &c->quota;
   double ratio = 1;
   if (excess (used.millicores, q->max_millicores))
     ratio = (double)q->max_millicores / (double)used.millicores;
-  struct sched_task *st = press (s, c, c->known ? ratio : 0.1, &used);
+  struct sched_task *st = throttle_to_plan (s, c, c->known ? ratio : 0.1, &used);
   bool at_once = !c->known || excess (used.memory_mb, q->max_memory_mb)
                  || excess (used.accelerators, q->max_accelerators);
-  if (!at_once && s->now_ms - c->over_since_ms < SCHEDULER_PLAN_GRACE_MS)
+  if (!at_once && s->now_ms - c->above_plan_since_ms < SCHEDULER_PLAN_GRACE_MS)
     return;
   if (st && above_plan (c, &used) && sched_may_evict (s, st, 0))
     sched_stop (s, st, CELL_STOP_PLAN);
@@ -405,7 +411,7 @@
 void
 sched_guard_drain (struct scheduler *s)
 {
-  if (s->now_ms - s->drain_ms < DRAIN_MS)
+  if (s->now_ms - s->drain_ms < DRAIN_PERIOD_MS)
     return;
   s->drain_ms = s->now_ms;
   struct cell_job *j;
--- a/src/scheduler/scheduler_learn.c
+++ b/src/scheduler/scheduler_learn.c
@@ -1,4 +1,4 @@
-/* What the leader learns from polls and ends of runs: interference, sizes, run times, health.  */
+/* Estimates learned from polls and ended runs: interference, sizes, run times, health.  */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
@@ -6,34 +6,34 @@
 #include "log.h"
 #include "scheduler_internal.h"
 
-#define URGENT_PROVEN_MS 30000
-#define RATIO_UP 0.5
-#define RATIO_DOWN 0.02
+#define URGENT_STABLE_MS 30000
+#define RATIO_RISE_RATE 0.5
+#define RATIO_FALL_RATE 0.02
 #define USE_RATE 0.1
 #define MAX_MIX 64
-/* A batch task that would raise a service's predicted slowdown by less than this is no cause.  */
-#define NEGLIGIBLE 0.005
-#define URGENT_CRASHES 8
-#define BATCH_CRASHES 6
+/* A batch task that raises a service's predicted slowdown by less is not refused for it.  */
+#define NEGLIGIBLE_SLOWDOWN 0.005
+#define URGENT_MAX_CRASHES 8
+#define BATCH_MAX_CRASHES 6
 
 double
 sched_expected_use (const struct sched_task *st)
 {
-  double use = (double)st->hold.millicores * st->cls->use;
+  double use = (double)st->allocated.millicores * st->cls->use;
   if (st->limit_millicores && use > st->limit_millicores)
     return st->limit_millicores;
   return use;
 }
 
-static struct sched_share *
-find_share (struct sched_share *list, size_t *count, int id, bool make)
+static struct sched_mix_entry *
+find_mix_entry (struct sched_mix_entry *list, size_t *count, int id, bool make)
 {
   for (size_t i = 0; i < *count; i++)
     if (list[i].id == id)
       return &list[i];
-  if (!make || *count == SCHED_MIX)
+  if (!make || *count == SCHED_MIX_SIZE)
     return NULL;
-  struct sched_share *e = &list[(*count)++];
+  struct sched_mix_entry *e = &list[(*count)++];
   memset (e, 0, sizeof *e);
   e->id = id;
   return e;
@@ -45,9 +45,9 @@
   struct sched_task *own = (struct sched_task *)st;
   own->mix_use = sched_expected_use (st);
   w->used_millicores += st->mix_use;
-  struct sched_share *e = st->cls->urgent
-                              ? find_share (w->services, &w->service_count, st->cls->id, true)
-                              : find_share (w->classes, &w->class_count, st->cls->id, true);
+  struct sched_mix_entry *e
+      = st->cls->urgent ? find_mix_entry (w->services, &w->service_count, st->cls->id, true)
+                        : find_mix_entry (w->classes, &w->class_count, st->cls->id, true);
   if (!e)
     return;
   e->count++;
@@ -57,10 +57,10 @@
 void
 sched_mix_remove (struct sched_worker *w, const struct sched_task *st)
 {
-  struct sched_share *list = st->cls->urgent ? w->services : w->classes;
+  struct sched_mix_entry *list = st->cls->urgent ? w->services : w->classes;
   size_t *count = st->cls->urgent ? &w->service_count : &w->class_count;
   w->used_millicores = fmax (w->used_millicores - st->mix_use, 0);
-  struct sched_share *e = find_share (list, count, st->cls->id, false);
+  struct sched_mix_entry *e = find_mix_entry (list, count, st->cls->id, false);
   if (!e)
     return;
   e->millicores = fmax (e->millicores - st->mix_use, 0);
@@ -80,47 +80,49 @@
 }
 
 double
-sched_harm_batch (struct scheduler *s, const struct sched_worker *w, const struct sched_task *st)
+sched_batch_interference (struct scheduler *s, const struct sched_worker *w,
+                          const struct sched_task *st)
 {
   if (w->service_count == 0 || w->total.millicores == 0)
     return 0;
-  struct interference_load mix[SCHED_MIX + 1];
+  struct interference_load mix[SCHED_MIX_SIZE + 1];
   size_t count = mix_of (w, mix);
   double total = (double)w->total.millicores;
   double use = (double)sched_need (s, st).millicores * st->cls->use;
   mix[count].class_id = st->cls->id;
   mix[count].share = use / total;
   double load = w->used_millicores / total;
-  double harm = 0;
+  double interference = 0;
   for (size_t i = 0; i < w->service_count; i++)
     {
       int service = w->services[i].id;
       double before = interference_predict (s->model, service, mix, count, load);
       double after = interference_predict (s->model, service, mix, count + 1, load + use / total);
-      if (after > INTERFERENCE_TARGET && after - before > NEGLIGIBLE)
+      if (after > INTERFERENCE_SLOWDOWN_LIMIT && after - before > NEGLIGIBLE_SLOWDOWN)
         return PLACEMENT_REFUSED;
-      harm += w->services[i].count * fmax (after - before, 0);
+      interference += w->services[i].count * fmax (after - before, 0);
     }
-  return harm;
+  return interference;
 }
 
 double
-sched_harm_urgent (struct scheduler *s, const struct sched_worker *w, const struct sched_task *st)
+sched_urgent_interference (struct scheduler *s, const struct sched_worker *w,
+                           const struct sched_task *st)
 {
-  struct interference_load mix[SCHED_MIX];
+  struct interference_load mix[SCHED_MIX_SIZE];
   if (w->total.millicores == 0)
     return PLACEMENT_REFUSED;
   size_t count = mix_of (w, mix);
   double load = (w->used_millicores + (double)sched_need (s, st).millicores * st->cls->use)
                 / (double)w->total.millicores;
   double slowdown = interference_predict (s->model, st->cls->id, mix, count, load);
-  return slowdown > INTERFERENCE_TARGET ? PLACEMENT_REFUSED : slowdown - 1;
+  return slowdown > INTERFERENCE_SLOWDOWN_LIMIT ? PLACEMENT_REFUSED : slowdown - 1;
 }
 
 double
 sched_worst_predicted (const struct scheduler *s, const struct sched_worker *w)
 {
-  struct interference_load mix[SCHED_MIX];
+  struct interference_load mix[SCHED_MIX_SIZE];
   size_t count = mix_of (w, mix);
   double load = w->used_millicores / (double)w->total.millicores;
   double worst = 1;
@@ -130,18 +132,19 @@
 }
 
 double
-sched_harm_of (struct scheduler *s, const struct sched_worker *w, const struct sched_task *st)
+sched_task_interference (struct scheduler *s, const struct sched_worker *w,
+                         const struct sched_task *st)
 {
   double load = w->used_millicores / (double)w->total.millicores;
   double share = st->mix_use / (double)w->total.millicores;
-  double harm = 0;
+  double interference = 0;
   for (size_t i = 0; i < w->service_count; i++)
-    harm += w->services[i].count * share
-            * interference_coefficient (s->model, w->services[i].id, st->cls->id, load);
-  return harm;
+    interference += w->services[i].count * share
+                    * interference_coefficient (s->model, w->services[i].id, st->cls->id, load);
+  return interference;
 }
 
-/* What ran on W at AT_MS, when the sample was taken.  */
+/* Batch load of W at AT_MS, when the sample was taken.  */
 static size_t
 mix_at (const struct sched_worker *w, int64_t at_ms, struct interference_load *mix)
 {
@@ -155,7 +158,7 @@
     mix[count].class_id = st->cls->id;
     mix[count++].share = (st->used_millicores ? st->used_millicores : st->mix_use) / total;
   }
-  for (size_t i = 0; i < SCHED_RECENT && count < MAX_MIX; i++)
+  for (size_t i = 0; i < SCHED_RECENT_RUNS && count < MAX_MIX; i++)
     {
       const struct sched_recent *r = &w->recent[i];
       if (r->from_ms == 0 || r->from_ms > at_ms || r->to_ms <= at_ms)
@@ -167,9 +170,9 @@
 }
 
 static void
-follow_ratio (double *ratio, double seen)
+update_ratio (double *ratio, double seen)
 {
-  *ratio += (seen > *ratio ? RATIO_UP : RATIO_DOWN) * (seen - *ratio);
+  *ratio += (seen > *ratio ? RATIO_RISE_RATE : RATIO_FALL_RATE) * (seen - *ratio);
 }
 
 static void
@@ -177,25 +180,25 @@
 {
   struct sched_class *c = st->cls;
   const cell_size *size = &st->t->job->spec.size;
-  if (st->used_millicores == 0 || st->hold.millicores == 0)
+  if (st->used_millicores == 0 || st->allocated.millicores == 0)
     return;
-  c->use += USE_RATE * ((double)st->used_millicores / (double)st->hold.millicores - c->use);
+  c->use += USE_RATE * ((double)st->used_millicores / (double)st->allocated.millicores - c->use);
   if (c->urgent)
     return;
-  /* A throttled task shows its limit, not what it would use.  */
+  /* The usage of a throttled task shows its limit, not its demand.  */
   if (st->limit == SCHED_LIMIT_NONE || st->used_millicores > st->limit_millicores)
-    follow_ratio (&c->processor_ratio, (double)st->used_millicores / size->millicores);
+    update_ratio (&c->processor_ratio, (double)st->used_millicores / size->millicores);
   if (st->used_memory_mb > 0)
-    follow_ratio (&c->memory_ratio, (double)st->used_memory_mb / size->memory_mb);
+    update_ratio (&c->memory_ratio, (double)st->used_memory_mb / size->memory_mb);
 }
 
 static void
-prove (struct scheduler *s, struct sched_worker *w, struct sched_task *st)
+record_stable_run (struct scheduler *s, struct sched_worker *w, struct sched_task *st)
 {
-  if (st->proven || st->run_from_ms == 0 || s->now_ms - st->run_from_ms < URGENT_PROVEN_MS)
+  if (st->stable || st->run_from_ms == 0 || s->now_ms - st->run_from_ms < URGENT_STABLE_MS)
     return;
-  st->proven = true;
-  class_health_note (&st->cls->health, true);
+  st->stable = true;
+  class_health_record (&st->cls->health, true);
   if (!w->health.quarantined)
     worker_health_succeeded (&w->health);
 }
@@ -207,8 +210,9 @@
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   if (st->cls->urgent && st->listed == CELL_REPORT_RUNNING && st->listed_poll == w->sequence)
-    prove (s, w, st);
-  if (sched_policy (s, SCHEDULER_NO_LEARNING) || at_ms <= w->learned_ms || w->total.millicores == 0)
+    record_stable_run (s, w, st);
+  if (sched_has_policy (s, SCHEDULER_NO_LEARNING) || at_ms <= w->learned_ms
+      || w->total.millicores == 0)
     return;
   w->learned_ms = at_ms;
   struct interference_load mix[MAX_MIX];
@@ -228,7 +232,7 @@
 sched_learn_done (struct scheduler *s, struct sched_task *st)
 {
   struct sched_worker *w = st->worker;
-  class_health_note (&st->cls->health, true);
+  class_health_record (&st->cls->health, true);
   if (w && worker_health_succeeded (&w->health))
     {
       s->quarantined--;
@@ -236,11 +240,11 @@
     }
   if (w)
     sched_update_row (s, w);
-  if (sched_policy (s, SCHEDULER_NO_LEARNING) || st->cls->urgent || st->run_from_ms == 0
+  if (sched_has_policy (s, SCHEDULER_NO_LEARNING) || st->cls->urgent || st->run_from_ms == 0
       || st->limit != SCHED_LIMIT_NONE)
     return;
   uint64_t ran = st->start_progress_ms + (uint64_t)(s->now_ms - st->run_from_ms);
-  order_learn (&st->cls->run, st->t->job->spec.run_ms, ran);
+  run_time_record (&st->cls->run, st->t->job->spec.run_ms, ran);
 }
 
 static bool
@@ -265,19 +269,19 @@
   sched_propose (s, &cmd, NULL);
 }
 
-/* A job is bad when it fails on several healthy workers; a service has to crash more often.  */
+/* Fails a job that failed on several healthy workers; a service has to crash more often.  */
 static void
-judge_job (struct scheduler *s, struct sched_task *st)
+fail_bad_job (struct scheduler *s, struct sched_task *st)
 {
   const struct cell_task *t = st->t;
   uint32_t workers = 0;
   for (int i = 0; i < CELL_FAILED_WORKERS; i++)
     if (t->failed_on[i][0] && healthy_worker (s, t->failed_on[i]))
       workers++;
-  uint32_t enough = WORKER_HEALTH_JOB_WORKERS;
+  uint32_t enough = WORKER_HEALTH_JOB_FAILED_WORKERS;
   if (s->worker_count < enough)
     enough = (uint32_t)s->worker_count;
-  bool often = t->failures >= (st->cls->urgent ? URGENT_CRASHES : BATCH_CRASHES);
+  bool often = t->failures >= (st->cls->urgent ? URGENT_MAX_CRASHES : BATCH_MAX_CRASHES);
   if (workers < enough && !(often && workers > 0))
     return;
   if (st->cls->urgent && !often)
@@ -289,10 +293,10 @@
 sched_learn_failed (struct scheduler *s, struct sched_task *st)
 {
   struct sched_worker *w = st->worker;
-  if (w && !sched_policy (s, SCHEDULER_NO_QUARANTINE))
+  if (w && !sched_has_policy (s, SCHEDULER_NO_QUARANTINE))
     {
-      bool room
-          = (double)s->quarantined + 1 <= WORKER_HEALTH_MAX_SHARE * (double)s->worker_count + 1;
+      bool room = (double)s->quarantined + 1
+                  <= WORKER_HEALTH_MAX_QUARANTINED_SHARE * (double)s->worker_count + 1;
       if (worker_health_failed (&w->health, &st->cls->health, s->now_ms, room))
         {
           s->quarantined++;
@@ -302,22 +306,22 @@
         }
       sched_update_row (s, w);
     }
-  class_health_note (&st->cls->health, false);
-  judge_job (s, st);
+  class_health_record (&st->cls->health, false);
+  fail_bad_job (s, st);
 }
 
 void
-sched_learn_ended (struct scheduler *s, struct sched_task *st)
+sched_record_run_end (struct scheduler *s, struct sched_task *st)
 {
   struct sched_worker *w = st->worker;
   if (w->probe_task == st->t->id)
     {
-      worker_health_probe_void (&w->health, s->now_ms);
+      worker_health_cancel_probe (&w->health, s->now_ms);
       w->probe_task = 0;
     }
   if (st->cls->urgent || st->run_from_ms == 0)
     return;
-  struct sched_recent *r = &w->recent[w->recent_next++ % SCHED_RECENT];
+  struct sched_recent *r = &w->recent[w->recent_next++ % SCHED_RECENT_RUNS];
   r->class_id = st->cls->id;
   r->millicores = st->used_millicores ? st->used_millicores : st->mix_use;
   r->from_ms = st->run_from_ms;
--- a/src/scheduler/scheduler_place.c
+++ b/src/scheduler/scheduler_place.c
@@ -1,45 +1,45 @@
-/* Rounds of placement: urgent first, customers by weighted dominant share, preemption.  */
+/* Placement rounds: urgent tasks first, customers by weighted dominant share, preemption.  */
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "scheduler_internal.h"
 
-#define ROUND_MS 1000
-#define MAX_PLACED 2048   /* per round; the next tick goes on */
-#define MAX_ASIDE 32      /* tasks of one class that are passed over in a round */
-#define MAX_FAILED 32     /* sizes known not to fit in this round */
-#define PREEMPT_SAMPLE 64 /* workers looked at for victims */
+#define ROUND_PERIOD_MS 1000
+#define MAX_PLACED 2048     /* per round; the next tick continues */
+#define MAX_SKIPPED 32      /* tasks of one class skipped in a round */
+#define MAX_FAILED_SIZES 32 /* sizes known not to fit in this round */
+#define PREEMPT_SAMPLE 64   /* workers examined for victims */
 #define MAX_CANDIDATES 64
-#define ROOM_MS 5000           /* a preempted worker's room is kept this long */
-#define COLLECT_LIFE_MS 300000 /* a batch task collects room this long */
-#define COLLECT_MS 60000       /* before its latest start a task may collect room */
-#define WORKERS_PER_ROOM 16
+#define PREEMPT_RESERVATION_MS 5000   /* capacity freed by preemption stays reserved this long */
+#define BATCH_RESERVATION_MS 300000   /* free capacity is collected for a batch task this long */
+#define RESERVE_BEFORE_START_MS 60000 /* before its latest start a task may reserve capacity */
+#define WORKERS_PER_RESERVATION 16
 
-/* Replicas of one service share a worker only when nothing else is free.  */
-#define SAME_WORKER_HARM 0.1
+/* Replicas of one service share a worker only when no other worker has free capacity.  */
+#define SAME_WORKER_PENALTY 0.1
 
-/* Batch tasks leave room for what urgent tasks are likely to ask for in one window.  */
+/* Batch tasks leave headroom for the urgent demand expected in one window.  */
 #define DEMAND_WINDOW_MS 10000
 #define DEMAND_RATE 0.1
 #define DEMAND_DEVIATIONS 3.0
-#define MAX_HEADROOM 0.08 /* of all processors */
-#define CRITICAL_MS 5000  /* before its latest start a batch task may use the headroom */
+#define MAX_HEADROOM 0.08             /* of all processors */
+#define HEADROOM_START_MARGIN_MS 5000 /* before its latest start a task may use the headroom */
 
 struct failed_size
 {
   const struct sched_class *cls;
-  struct order_amount need;
+  struct resource_amount need;
 };
 
 struct round
 {
   struct scheduler *s;
   bool urgent;
-  size_t aside;
+  size_t skipped;
   size_t placed;
   double spare; /* free millicores beyond the headroom */
-  struct failed_size failed[MAX_FAILED];
+  struct failed_size failed[MAX_FAILED_SIZES];
   size_t failed_count;
 };
 
@@ -50,13 +50,14 @@
 };
 
 static double
-harm_at (void *ctx, size_t row)
+interference_at (void *ctx, size_t row)
 {
   const struct choice *c = ctx;
   const struct sched_worker *w = c->s->workers[row];
   if (sched_is_urgent (c->st))
-    return sched_harm_urgent (c->s, w, c->st) + (w->mark == c->s->mark ? SAME_WORKER_HARM : 0);
-  return sched_harm_batch (c->s, w, c->st);
+    return sched_urgent_interference (c->s, w, c->st)
+           + (w->mark == c->s->mark ? SAME_WORKER_PENALTY : 0);
+  return sched_batch_interference (c->s, w, c->st);
 }
 
 static bool
@@ -68,7 +69,7 @@
   if (w->health.quarantined && sched_is_urgent (c->st))
     return true;
   if (t->failures == 0 || c->s->worker_count <= CELL_FAILED_WORKERS
-      || sched_policy (c->s, SCHEDULER_NO_QUARANTINE))
+      || sched_has_policy (c->s, SCHEDULER_NO_QUARANTINE))
     return false;
   for (int i = 0; i < CELL_FAILED_WORKERS; i++)
     if (strcmp (t->failed_on[i], w->id) == 0)
@@ -76,7 +77,7 @@
   return false;
 }
 
-/* Tasks of the job per rack, for the spread; NULL when it does not matter.  */
+/* Tasks of the job per rack; NULL when the job need not be spread over racks.  */
 static const uint32_t *
 count_racks (struct scheduler *s, const struct sched_task *st)
 {
@@ -89,7 +90,7 @@
   STAILQ_FOREACH (t, &j->tasks, link)
   {
     const struct sched_task *o = t->soft;
-    const struct sched_worker *w = o ? (o->worker ? o->worker : o->room) : NULL;
+    const struct sched_worker *w = o ? (o->worker ? o->worker : o->reserved_worker) : NULL;
     if (w && w->announced)
       s->rack_counts[w->rack]++;
   }
@@ -97,7 +98,7 @@
 }
 
 static struct placement_request
-request_for (struct choice *c, const struct order_amount *need)
+request_for (struct choice *c, const struct resource_amount *need)
 {
   struct scheduler *s = c->s;
   struct placement_request q = {
@@ -105,11 +106,13 @@
     .memory_mb = (uint32_t)need->memory_mb,
     .accelerators = (uint32_t)need->accelerators,
     .urgent = sched_is_urgent (c->st),
-    .noise = sched_is_urgent (c->st) ? 0 : fmin (interference_noise (s->model, c->st->cls->id), 1),
+    .noise = sched_is_urgent (c->st)
+                 ? 0
+                 : fmin (interference_max_coefficient (s->model, c->st->cls->id), 1),
     .max_per_rack = c->st->t->job->spec.max_per_rack,
     .rack_counts = count_racks (s, c->st),
-    .first_fit = sched_policy (s, SCHEDULER_FIRST_FIT),
-    .harm = sched_policy (s, SCHEDULER_NO_LEARNING) ? NULL : harm_at,
+    .first_fit = sched_has_policy (s, SCHEDULER_FIRST_FIT),
+    .interference = sched_has_policy (s, SCHEDULER_NO_LEARNING) ? NULL : interference_at,
     .avoid = avoid_at,
     .ctx = c,
   };
@@ -117,21 +120,21 @@
 }
 
 static void
-place (struct scheduler *s, struct sched_task *st, struct sched_worker *w)
+propose_placement (struct scheduler *s, struct sched_task *st, struct sched_worker *w)
 {
   cell_command cmd;
   cell_place *p = &cmd.cell_command_u.place;
   sched_unreserve (s, st);
-  sched_hold (s, st, w);
+  sched_allocate (s, st, w);
   if (sched_is_urgent (st))
     {
-      s->demand_now += (double)st->hold.millicores;
-      if (!sched_policy (s, SCHEDULER_NO_LEARNING))
-        sched_guard_arrival (s, w);
+      s->demand_now += (double)st->allocated.millicores;
+      if (!sched_has_policy (s, SCHEDULER_NO_LEARNING))
+        sched_throttle_for_arrival (s, w);
     }
   if (w->health.quarantined)
     {
-      worker_health_probe (&w->health);
+      worker_health_begin_probe (&w->health);
       w->probe_task = st->t->id;
       sched_update_row (s, w);
     }
@@ -145,39 +148,39 @@
 }
 
 static bool
-over (uint64_t used, uint64_t need, uint64_t max)
+exceeds_plan (uint64_t used, uint64_t need, uint64_t max)
 {
   return need > 0 && used + need > max;
 }
 
 static bool
-plan_allows (const struct sched_customer *c, const struct order_amount *need)
+plan_allows (const struct sched_customer *c, const struct resource_amount *need)
 {
   const struct scheduler_quota *q = &c->quota;
-  return c->known && !over (c->used.millicores, need->millicores, q->max_millicores)
-         && !over (c->used.memory_mb, need->memory_mb, q->max_memory_mb)
-         && !over (c->used.accelerators, need->accelerators, q->max_accelerators);
+  return c->known && !exceeds_plan (c->used.millicores, need->millicores, q->max_millicores)
+         && !exceeds_plan (c->used.memory_mb, need->memory_mb, q->max_memory_mb)
+         && !exceeds_plan (c->used.accelerators, need->accelerators, q->max_accelerators);
 }
 
 /* Preemption.  */
 
 static uint64_t
-short_of (uint64_t need, uint64_t total, uint64_t used)
+shortfall (uint64_t need, uint64_t total, uint64_t used)
 {
   uint64_t room = used < total ? total - used : 0;
   return need > room ? need - room : 0;
 }
 
-static struct order_amount
-missing_on (const struct sched_worker *w, const struct order_amount *need)
+static struct resource_amount
+shortfall_on (const struct sched_worker *w, const struct resource_amount *need)
 {
-  struct order_amount m = {
-    short_of (need->millicores, w->total.millicores,
-              w->held.millicores + w->unplaced.millicores + w->reserved.millicores),
-    short_of (need->memory_mb, w->total.memory_mb,
-              w->held.memory_mb + w->unplaced.memory_mb + w->reserved.memory_mb),
-    short_of (need->accelerators, w->total.accelerators,
-              w->held.accelerators + w->unplaced.accelerators + w->reserved.accelerators),
+  struct resource_amount m = {
+    shortfall (need->millicores, w->total.millicores,
+               w->allocated.millicores + w->unmatched.millicores + w->reserved.millicores),
+    shortfall (need->memory_mb, w->total.memory_mb,
+               w->allocated.memory_mb + w->unmatched.memory_mb + w->reserved.memory_mb),
+    shortfall (need->accelerators, w->total.accelerators,
+               w->allocated.accelerators + w->unmatched.accelerators + w->reserved.accelerators),
   };
   return m;
 }
@@ -189,28 +192,29 @@
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
-    if (sched_is_urgent (st) || st->held_epoch == 0 || st->t->state == CELL_STOPPING
-        || st->want_stop != CELL_STOP_NONE || count == MAX_CANDIDATES)
+    if (sched_is_urgent (st) || st->allocated_epoch == 0 || st->t->state == CELL_STOPPING
+        || st->requested_stop != CELL_STOP_NONE || count == MAX_CANDIDATES)
       continue;
     uint32_t planned = 0;
     for (size_t i = 0; i < count; i++)
       planned += ((struct sched_task *)out[i].owner)->customer == st->customer;
     if (sched_may_evict (s, st, planned))
-      sched_candidate (s, w, st, &out[count++]);
+      sched_eviction_candidate (s, w, st, &out[count++]);
   }
   return count;
 }
 
 static bool
-victims_on (struct scheduler *s, const struct sched_worker *w, const struct order_amount *need,
-            struct eviction_candidate *cs, struct eviction_choice *out)
+victims_on (struct scheduler *s, const struct sched_worker *w, const struct resource_amount *need,
+            struct eviction_candidate *candidates, struct eviction_choice *out)
 {
   if (w->total.millicores < need->millicores || w->total.memory_mb < need->memory_mb
       || w->total.accelerators < need->accelerators)
     return false;
-  struct order_amount missing = missing_on (w, need);
-  size_t count = candidates_on (s, w, cs);
-  return eviction_choose (cs, count, &missing, sched_policy (s, SCHEDULER_EVICT_NEWEST), out);
+  struct resource_amount missing = shortfall_on (w, need);
+  size_t count = candidates_on (s, w, candidates);
+  return eviction_choose (candidates, count, &missing, sched_has_policy (s, SCHEDULER_EVICT_NEWEST),
+                          out);
 }
 
 static bool
@@ -222,12 +226,12 @@
   return q->max_per_rack == 0 || !q->rack_counts || q->rack_counts[r->rack] < q->max_per_rack;
 }
 
-/* Stops the cheapest batch tasks that make room for an urgent task, and keeps the room for it.  */
+/* Stops the cheapest batch tasks that free capacity for an urgent task, and reserves it.  */
 static bool
 preempt (struct scheduler *s, struct sched_task *st, const struct placement_request *q,
-         const struct order_amount *need)
+         const struct resource_amount *need)
 {
-  struct eviction_candidate cs[MAX_CANDIDATES];
+  struct eviction_candidate candidates[MAX_CANDIDATES];
   struct eviction_choice choice;
   struct sched_worker *best = NULL;
   double best_cost = 0;
@@ -237,7 +241,7 @@
       if (at >= s->worker_count)
         at = 0;
       struct sched_worker *w = s->workers[at];
-      if (!row_allows (s, at, q) || !victims_on (s, w, need, cs, &choice))
+      if (!row_allows (s, at, q) || !victims_on (s, w, need, candidates, &choice))
         continue;
       seen++;
       if (best && choice.cost >= best_cost)
@@ -247,19 +251,19 @@
       if (q->first_fit)
         break;
     }
-  if (!best || !victims_on (s, best, need, cs, &choice))
+  if (!best || !victims_on (s, best, need, candidates, &choice))
     return false;
-  sched_reserve (s, st, best, s->now_ms + ROOM_MS);
+  sched_reserve (s, st, best, s->now_ms + PREEMPT_RESERVATION_MS);
   for (size_t i = 0; i < choice.count; i++)
-    sched_stop (s, cs[choice.victims[i]].owner, CELL_STOP_PREEMPT);
+    sched_stop (s, candidates[choice.victims[i]].owner, CELL_STOP_PREEMPT);
   return true;
 }
 
-/* Rounds.  */
+/* Placement rounds.  */
 
 static bool
 known_not_to_fit (const struct round *r, const struct sched_task *st,
-                  const struct order_amount *need)
+                  const struct resource_amount *need)
 {
   for (size_t i = 0; i < r->failed_count; i++)
     {
@@ -272,34 +276,36 @@
 }
 
 static void
-note_failed (struct round *r, const struct sched_task *st, const struct order_amount *need)
+record_failed_size (struct round *r, const struct sched_task *st,
+                    const struct resource_amount *need)
 {
-  /* A spread limit or earlier failures narrow the choice for this task alone.  */
-  if (st->t->failures > 0 || st->t->job->spec.max_per_rack > 0 || r->failed_count == MAX_FAILED)
+  /* A rack limit or earlier failures restrict the choice for this task only.  */
+  if (st->t->failures > 0 || st->t->job->spec.max_per_rack > 0
+      || r->failed_count == MAX_FAILED_SIZES)
     return;
   r->failed[r->failed_count].cls = st->cls;
   r->failed[r->failed_count++].need = *need;
 }
 
 static bool
-may_collect (const struct scheduler *s, const struct sched_task *st)
+may_reserve (const struct scheduler *s, const struct sched_task *st)
 {
   const struct cell_job *j = st->t->job;
-  if (sched_is_urgent (st) || sched_policy (s, SCHEDULER_FIFO)
-      || s->room_count > s->worker_count / WORKERS_PER_ROOM)
+  if (sched_is_urgent (st) || sched_has_policy (s, SCHEDULER_FIFO)
+      || s->reservation_count > s->worker_count / WORKERS_PER_RESERVATION)
     return false;
   int64_t now = cell_log_time (s->cell, s->now_ms);
-  if (now - j->submitted_ms >= ORDER_AGE_BOUND_MS)
+  if (now - j->submitted_ms >= TASK_QUEUE_AGE_BOUND_MS)
     return true;
-  return j->deadline_ms > 0 && st->item.key <= now + COLLECT_MS;
+  return j->deadline_ms > 0 && st->item.key <= now + RESERVE_BEFORE_START_MS;
 }
 
-/* A task that fits nowhere and is aged or close to its latest start collects the room that becomes
-   free on one worker: small tasks would take each piece before it.  */
+/* Reserves the capacity that becomes free on one worker for a task that fits nowhere and is aged or
+   close to its latest start: otherwise small tasks would take each piece first.  */
 static bool
-collect_room (struct scheduler *s, struct sched_task *st, const struct order_amount *need)
+reserve_worker (struct scheduler *s, struct sched_task *st, const struct resource_amount *need)
 {
-  if (!may_collect (s, st))
+  if (!may_reserve (s, st))
     return false;
   struct choice c = { s, st };
   struct sched_worker *best = NULL;
@@ -309,19 +315,19 @@
       if (!s->rows[i].usable || w->health.quarantined || w->reserved.millicores > 0
           || w->total.millicores < need->millicores || w->total.memory_mb < need->memory_mb
           || w->total.accelerators < need->accelerators || avoid_at (&c, i)
-          || sched_harm_batch (s, w, st) >= PLACEMENT_REFUSED)
+          || sched_batch_interference (s, w, st) >= PLACEMENT_REFUSED)
         continue;
       if (!best || s->rows[i].free_millicores > s->rows[best->row].free_millicores)
         best = w;
     }
   if (!best)
     return false;
-  sched_reserve (s, st, best, s->now_ms + COLLECT_LIFE_MS);
+  sched_reserve (s, st, best, s->now_ms + BATCH_RESERVATION_MS);
   return true;
 }
 
 static void
-follow_demand (struct scheduler *s)
+update_demand (struct scheduler *s)
 {
   if (s->now_ms - s->demand_ms < DEMAND_WINDOW_MS)
     return;
@@ -335,7 +341,7 @@
 static double
 spare_processors (const struct scheduler *s)
 {
-  if (sched_policy (s, SCHEDULER_NO_LEARNING))
+  if (sched_has_policy (s, SCHEDULER_NO_LEARNING))
     return INFINITY;
   double spare = 0;
   for (size_t i = 0; i < s->worker_count; i++)
@@ -346,12 +352,14 @@
 }
 
 static bool
-takes_headroom (const struct round *r, const struct sched_task *st, const struct order_amount *need)
+takes_headroom (const struct round *r, const struct sched_task *st,
+                const struct resource_amount *need)
 {
   if (r->urgent || (double)need->millicores <= r->spare)
     return false;
-  bool critical = st->t->job->deadline_ms > 0
-                  && st->item.key <= cell_log_time (r->s->cell, r->s->now_ms) + CRITICAL_MS;
+  bool critical
+      = st->t->job->deadline_ms > 0
+        && st->item.key <= cell_log_time (r->s->cell, r->s->now_ms) + HEADROOM_START_MARGIN_MS;
   return !critical;
 }
 
@@ -360,33 +368,33 @@
 {
   struct scheduler *s = r->s;
   struct choice c = { s, st };
-  struct order_amount need = sched_need (s, st);
+  struct resource_amount need = sched_need (s, st);
   if (known_not_to_fit (r, st, &need) || takes_headroom (r, st, &need))
-    return collect_room (s, st, &need);
+    return reserve_worker (s, st, &need);
   struct placement_request q = request_for (&c, &need);
   size_t row = placement_choose (s->rows, s->worker_count, &q, &s->rng);
   if (row == PLACEMENT_NONE && r->urgent && preempt (s, st, &q, &need))
     return true;
-  if (row == PLACEMENT_NONE && r->urgent && q.harm)
+  if (row == PLACEMENT_NONE && r->urgent && q.interference)
     {
-      /* Late is worse than slowed down.  */
-      q.harm = NULL;
+      /* A start beside noisy tasks is better than a late start.  */
+      q.interference = NULL;
       row = placement_choose (s->rows, s->worker_count, &q, &s->rng);
     }
   if (row != PLACEMENT_NONE)
     {
-      place (s, st, s->workers[row]);
+      propose_placement (s, st, s->workers[row]);
       r->spare -= (double)need.millicores;
       r->placed++;
       return true;
     }
-  if (collect_room (s, st, &need))
+  if (reserve_worker (s, st, &need))
     return true;
-  note_failed (r, st, &need);
+  record_failed_size (r, st, &need);
   return false;
 }
 
-/* The class with the most urgent waiting task; a class that does not fit hides no other.  */
+/* The class with the most urgent waiting task; one that does not fit does not block others.  */
 static struct sched_class *
 next_class (const struct sched_customer *c, bool urgent)
 {
@@ -394,17 +402,18 @@
   struct sched_class *cls;
   LIST_FOREACH (cls, &c->classes, link)
   {
-    const struct order_item *first = order_first (&cls->queue);
-    if (!first || cls->urgent != urgent || cls->aside >= MAX_ASIDE)
+    const struct task_queue_item *first = task_queue_first (&cls->queue);
+    if (!first || cls->urgent != urgent || cls->skipped >= MAX_SKIPPED)
       continue;
-    const struct order_item *other = best ? order_first (&best->queue) : NULL;
-    if (!other || first->key < other->key || (first->key == other->key && first->tie < other->tie))
+    const struct task_queue_item *other = best ? task_queue_first (&best->queue) : NULL;
+    if (!other || first->key < other->key
+        || (first->key == other->key && first->tie_breaker < other->tie_breaker))
       best = cls;
   }
   return best;
 }
 
-/* The customer with the smallest share; OUT is its class to serve.  */
+/* The customer with the smallest share; OUT is the class to place from.  */
 static struct sched_customer *
 next_customer (const struct round *r, struct sched_class **out)
 {
@@ -417,9 +426,9 @@
     struct sched_class *cls = c->blocked ? NULL : next_class (c, r->urgent);
     if (!cls)
       continue;
-    double share = sched_policy (s, SCHEDULER_FIFO)
-                       ? (double)order_first (&cls->queue)->key
-                       : order_share (&c->used, &s->total, c->quota.weight);
+    double share = sched_has_policy (s, SCHEDULER_FIFO)
+                       ? (double)task_queue_first (&cls->queue)->key
+                       : dominant_share (&c->used, &s->total, c->quota.weight);
     if (best && share >= best_share)
       continue;
     best = c;
@@ -430,43 +439,43 @@
 }
 
 static void
-set_aside (struct round *r, struct sched_class *cls, struct order_item *i)
+skip_task (struct round *r, struct sched_class *cls, struct task_queue_item *i)
 {
   struct scheduler *s = r->s;
-  if (r->aside == s->aside_capacity)
+  if (r->skipped == s->skipped_capacity)
     {
-      s->aside_capacity = s->aside_capacity ? 2 * s->aside_capacity : 256;
-      s->aside = xrealloc (s->aside, s->aside_capacity * sizeof (void *));
+      s->skipped_capacity = s->skipped_capacity ? 2 * s->skipped_capacity : 256;
+      s->skipped = xrealloc (s->skipped, s->skipped_capacity * sizeof (void *));
     }
-  s->aside[r->aside++] = i;
-  cls->aside++;
+  s->skipped[r->skipped++] = i;
+  cls->skipped++;
 }
 
-/* A deadline that was lost while the task waited no longer moves it forward.  */
+/* A deadline that was lost while the task waited no longer advances the task.  */
 static bool
-rekeyed (struct scheduler *s, struct sched_task *st)
+requeue_after_lost_deadline (struct scheduler *s, struct sched_task *st)
 {
   const struct cell_job *j = st->t->job;
-  if (j->deadline_ms == 0 || sched_is_urgent (st) || sched_policy (s, SCHEDULER_FIFO))
+  if (j->deadline_ms == 0 || sched_is_urgent (st) || sched_has_policy (s, SCHEDULER_FIFO))
     return false;
   int64_t key = sched_key (s, st);
   if (key <= st->item.key)
     return false;
   st->item.key = key;
-  order_push (&st->cls->queue, &st->item);
+  task_queue_push (&st->cls->queue, &st->item);
   return true;
 }
 
 static void
 serve_class (struct round *r, struct sched_customer *c, struct sched_class *cls)
 {
-  struct order_item *i = order_pop (&cls->queue);
+  struct task_queue_item *i = task_queue_pop (&cls->queue);
   struct sched_task *st = i->owner;
-  if (rekeyed (r->s, st))
+  if (requeue_after_lost_deadline (r->s, st))
     return;
-  struct order_amount need = sched_need (r->s, st);
+  struct resource_amount need = sched_need (r->s, st);
   if (!plan_allows (c, &need) || !try_place (r, st))
-    set_aside (r, cls, i);
+    skip_task (r, cls, i);
 }
 
 static void
@@ -479,33 +488,33 @@
   {
     c->blocked = !c->known;
     LIST_FOREACH (cls, &c->classes, link)
-    cls->aside = 0;
+    cls->skipped = 0;
   }
   while (r.placed < MAX_PLACED && (c = next_customer (&r, &cls)))
     serve_class (&r, c, cls);
-  for (size_t i = 0; i < r.aside; i++)
+  for (size_t i = 0; i < r.skipped; i++)
     {
-      struct sched_task *st = s->aside[i]->owner;
-      order_push (&st->cls->queue, &st->item);
+      struct sched_task *st = s->skipped[i]->owner;
+      task_queue_push (&st->cls->queue, &st->item);
     }
   if (r.placed >= MAX_PLACED)
     s->round_needed = true;
 }
 
 static void
-place_waiting (struct scheduler *s)
+place_reserved (struct scheduler *s)
 {
   struct sched_task *st;
   struct sched_task *next;
-  for (st = TAILQ_FIRST (&s->waiting); st; st = next)
+  for (st = TAILQ_FIRST (&s->reservations); st; st = next)
     {
-      next = TAILQ_NEXT (st, room_link);
-      struct sched_worker *w = st->room;
-      struct order_amount need = sched_need (s, st);
+      next = TAILQ_NEXT (st, reservation_link);
+      struct sched_worker *w = st->reserved_worker;
+      struct resource_amount need = sched_need (s, st);
       bool usable = s->rows[w->row].usable && plan_allows (st->customer, &need);
-      if (usable && sched_fits (w, &need, &st->room_amount))
-        place (s, st, w);
-      else if (!usable || s->now_ms >= st->room_until_ms)
+      if (usable && sched_fits (w, &need, &st->reserved_amount))
+        propose_placement (s, st, w);
+      else if (!usable || s->now_ms >= st->reserved_until_ms)
         {
           sched_unreserve (s, st);
           sched_enqueue (s, st);
@@ -517,10 +526,10 @@
 queue_delayed (struct scheduler *s)
 {
   int64_t now = cell_log_time (s->cell, s->now_ms);
-  const struct order_item *i;
-  while ((i = order_first (&s->delayed)) && i->key <= now)
+  const struct task_queue_item *i;
+  while ((i = task_queue_first (&s->delayed)) && i->key <= now)
     {
-      struct sched_task *st = order_pop (&s->delayed)->owner;
+      struct sched_task *st = task_queue_pop (&s->delayed)->owner;
       st->delayed = false;
       sched_enqueue (s, st);
     }
@@ -530,11 +539,11 @@
 sched_place_round (struct scheduler *s)
 {
   queue_delayed (s);
-  follow_demand (s);
-  if (!sched_permit (s) || s->worker_count == 0)
+  update_demand (s);
+  if (!sched_may_start (s) || s->worker_count == 0)
     return;
-  place_waiting (s);
-  if (!s->round_needed && s->now_ms - s->round_ms < ROUND_MS)
+  place_reserved (s);
+  if (!s->round_needed && s->now_ms - s->round_ms < ROUND_PERIOD_MS)
     return;
   s->round_needed = false;
   s->round_ms = s->now_ms;
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -1,9 +1,9 @@
-/* Admission, moves to other cells, statistics, the check of the rules and the state dump.  */
+/* Admission, moves to other cells, statistics, invariant checks and the state dump.  */
 #include <string.h>
 
 #include "scheduler_internal.h"
 
-#define MOVE_MS 2000 /* an unfinished move is repeated this often */
+#define MOVE_PERIOD_MS 2000 /* an unfinished move is repeated at this interval */
 
 static bool
 fits_empty (const struct sched_worker *w, const cell_size *size)
@@ -105,7 +105,7 @@
   return true;
 }
 
-/* Goes through all jobs once per MOVE_MS; the place is kept between calls as job and task.  */
+/* Visits all jobs once per MOVE_PERIOD_MS; the position between calls is the job and the task.  */
 bool
 scheduler_next_move (struct scheduler *s, struct scheduler_move *out)
 {
@@ -113,7 +113,7 @@
     return false;
   if (!s->move_job)
     {
-      if (s->now_ms - s->move_ms < MOVE_MS)
+      if (s->now_ms - s->move_ms < MOVE_PERIOD_MS)
         return false;
       s->move_ms = s->now_ms;
       s->move_job = TAILQ_FIRST (&s->cell->job_list);
@@ -129,7 +129,7 @@
         s->move_task = t->id;
         return true;
       }
-      /* A job that finished meanwhile is in the other list; the next pass starts over.  */
+      /* A job that has finished meanwhile is in the other list; the next pass starts over.  */
       s->move_job = s->move_job->in_finished ? NULL : TAILQ_NEXT (s->move_job, link);
       s->move_task = 0;
     }
@@ -148,7 +148,7 @@
     LIST_FOREACH (cls, &c->classes, link)
     out->pending += (uint32_t)cls->queue.count;
   }
-  out->pending += (uint32_t)s->delayed.count + s->room_count;
+  out->pending += (uint32_t)s->delayed.count + s->reservation_count;
   for (size_t i = 0; i < s->worker_count; i++)
     {
       const struct sched_worker *w = s->workers[i];
@@ -167,29 +167,30 @@
 static void
 check_worker (const struct scheduler *s, const struct sched_worker *w)
 {
-  struct order_amount held = { 0, 0, 0 };
+  struct resource_amount allocated = { 0, 0, 0 };
   const struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
     if (st->worker != w || st->t->soft != st)
-      sched_fault ("a task is listed on a worker that does not hold it");
-    if (st->held_epoch != 0 && strcmp (st->t->worker, w->id) != 0)
-      sched_fault ("a task holds capacity on another worker than the log says");
-    if (st->held_epoch != 0 && st->held_epoch != st->t->epoch)
-      sched_fault ("a task holds capacity under an old epoch");
-    held.millicores += st->hold.millicores;
-    held.memory_mb += st->hold.memory_mb;
-    held.accelerators += st->hold.accelerators;
+      sched_invariant_failed ("a task is listed on a worker other than its own");
+    if (st->allocated_epoch != 0 && strcmp (st->t->worker, w->id) != 0)
+      sched_invariant_failed ("a task is allocated on another worker than in the log");
+    if (st->allocated_epoch != 0 && st->allocated_epoch != st->t->epoch)
+      sched_invariant_failed ("a task is allocated under an old epoch");
+    allocated.millicores += st->allocated.millicores;
+    allocated.memory_mb += st->allocated.memory_mb;
+    allocated.accelerators += st->allocated.accelerators;
   }
-  if (held.millicores != w->held.millicores || held.memory_mb != w->held.memory_mb
-      || held.accelerators != w->held.accelerators)
-    sched_fault ("the sum of what tasks hold differs from the worker's books");
+  if (allocated.millicores != w->allocated.millicores
+      || allocated.memory_mb != w->allocated.memory_mb
+      || allocated.accelerators != w->allocated.accelerators)
+    sched_invariant_failed ("the sum of the task allocations differs from the worker's");
   if (!w->announced)
     return;
-  if (!w->shrunk && !sched_within (w))
-    sched_fault ("a worker is committed beyond its size");
+  if (!w->shrunk && !sched_within_capacity (w))
+    sched_invariant_failed ("a worker is allocated beyond its size");
   if (s->workers[w->row] != w)
-    sched_fault ("a worker's row is wrong");
+    sched_invariant_failed ("a worker's row index is wrong");
 }
 
 static void
@@ -198,14 +199,14 @@
   const struct sched_task *st = t->soft;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
   if (open != (st != NULL))
-    sched_fault ("an open task has no record, or a closed one has");
+    sched_invariant_failed ("an open task has no soft record, or a closed one has one");
   if (!st)
     return;
-  if (cell_task_on_worker (t) && (!st->worker || st->held_epoch != t->epoch))
-    sched_fault ("a placed task holds no capacity");
-  int places = (st->item.place != 0) + (st->worker != NULL) + (st->room != NULL);
+  if (cell_task_on_worker (t) && (!st->worker || st->allocated_epoch != t->epoch))
+    sched_invariant_failed ("a placed task has no allocation");
+  int places = (st->item.heap_position != 0) + (st->worker != NULL) + (st->reserved_worker != NULL);
   if (places > 1 || (places == 0 && st->in_flight == 0))
-    sched_fault ("a task is in two places, or in none");
+    sched_invariant_failed ("a task is not in exactly one of queue, worker and reservation");
 }
 
 void
--- a/src/scheduler/scheduler_task.c
+++ b/src/scheduler/scheduler_task.c
@@ -1,11 +1,11 @@
-/* Soft records of tasks: what they hold, where they queue, and which command the log needs next. */
+/* Soft records of tasks: allocation, queueing, and the next command to propose.  */
 #include <stdlib.h>
 #include <string.h>
 
 #include "scheduler_internal.h"
 
 #define MAX_SIZE_RATIO 4.0
-/* A class whose runs mostly succeed is tried again at once after its first failure.  */
+/* A class whose runs mostly succeed is retried at once after a first failure.  */
 #define TRUSTED_RATE 0.8
 #define TRUSTED_BACKOFF_MS 100
 
@@ -20,7 +20,7 @@
 uint64_t
 sched_remaining_ms (const struct sched_task *st)
 {
-  uint64_t run = order_expect (&st->cls->run, st->t->job->spec.run_ms);
+  uint64_t run = run_time_cautious (&st->cls->run, st->t->job->spec.run_ms);
   return run > st->t->progress_ms ? run - st->t->progress_ms : 0;
 }
 
@@ -28,12 +28,12 @@
 sched_key (const struct scheduler *s, const struct sched_task *st)
 {
   const struct cell_job *j = st->t->job;
-  if (sched_is_urgent (st) || sched_policy (s, SCHEDULER_FIFO))
+  if (sched_is_urgent (st) || sched_has_policy (s, SCHEDULER_FIFO))
     return j->submitted_ms;
-  uint64_t least = order_expect_least (&st->cls->run, j->spec.run_ms);
+  uint64_t least = run_time_optimistic (&st->cls->run, j->spec.run_ms);
   least = least > st->t->progress_ms ? least - st->t->progress_ms : 0;
-  return order_key (cell_log_time (s->cell, s->now_ms), j->submitted_ms, j->deadline_ms,
-                    sched_remaining_ms (st), least);
+  return task_queue_key (cell_log_time (s->cell, s->now_ms), j->submitted_ms, j->deadline_ms,
+                         sched_remaining_ms (st), least);
 }
 
 static uint64_t
@@ -45,13 +45,13 @@
   return want > declared ? want : declared;
 }
 
-/* Declared size, raised to what the class was seen to use.  */
-struct order_amount
+/* Declared size, raised to the observed usage of the class.  */
+struct resource_amount
 sched_need (const struct scheduler *s, const struct sched_task *st)
 {
   const cell_size *size = &st->t->job->spec.size;
-  struct order_amount need = { size->millicores, size->memory_mb, size->accelerators };
-  if (sched_policy (s, SCHEDULER_NO_LEARNING) || sched_is_urgent (st))
+  struct resource_amount need = { size->millicores, size->memory_mb, size->accelerators };
+  if (sched_has_policy (s, SCHEDULER_NO_LEARNING) || sched_is_urgent (st))
     return need;
   need.millicores = scaled (need.millicores, st->cls->processor_ratio, s->largest.millicores);
   need.memory_mb = scaled (need.memory_mb, st->cls->memory_ratio, s->largest.memory_mb);
@@ -59,7 +59,7 @@
 }
 
 static void
-add (struct order_amount *to, const struct order_amount *a)
+add (struct resource_amount *to, const struct resource_amount *a)
 {
   to->millicores += a->millicores;
   to->memory_mb += a->memory_mb;
@@ -67,22 +67,23 @@
 }
 
 static void
-subtract (struct order_amount *from, const struct order_amount *a)
+subtract (struct resource_amount *from, const struct resource_amount *a)
 {
   if (from->millicores < a->millicores || from->memory_mb < a->memory_mb
       || from->accelerators < a->accelerators)
-    sched_fault ("more is released than is held");
+    sched_invariant_failed ("released more than allocated");
   from->millicores -= a->millicores;
   from->memory_mb -= a->memory_mb;
   from->accelerators -= a->accelerators;
 }
 
 static void
-take (struct scheduler *s, struct sched_task *st, struct sched_worker *w, struct order_amount need)
+allocate (struct scheduler *s, struct sched_task *st, struct sched_worker *w,
+          struct resource_amount need)
 {
   st->worker = w;
-  st->hold = need;
-  add (&w->held, &need);
+  st->allocated = need;
+  add (&w->allocated, &need);
   add (&st->customer->used, &need);
   TAILQ_INSERT_TAIL (&w->tasks, st, link);
   if (sched_is_urgent (st))
@@ -92,61 +93,62 @@
 }
 
 void
-sched_hold (struct scheduler *s, struct sched_task *st, struct sched_worker *w)
+sched_allocate (struct scheduler *s, struct sched_task *st, struct sched_worker *w)
 {
-  struct order_amount need = sched_need (s, st);
+  struct resource_amount need = sched_need (s, st);
   if (st->worker || !sched_fits (w, &need, NULL))
-    sched_fault ("a worker would be committed beyond its size");
-  take (s, st, w, need);
+    sched_invariant_failed ("a worker would be allocated beyond its size");
+  allocate (s, st, w, need);
 }
 
 bool
-sched_grow (struct scheduler *s, struct sched_task *st, const struct order_amount *want)
+sched_grow_allocation (struct scheduler *s, struct sched_task *st,
+                       const struct resource_amount *want)
 {
   struct sched_worker *w = st->worker;
-  struct order_amount more = { 0, 0, 0 };
-  if (want->millicores > st->hold.millicores)
-    more.millicores = want->millicores - st->hold.millicores;
-  if (want->memory_mb > st->hold.memory_mb)
-    more.memory_mb = want->memory_mb - st->hold.memory_mb;
+  struct resource_amount more = { 0, 0, 0 };
+  if (want->millicores > st->allocated.millicores)
+    more.millicores = want->millicores - st->allocated.millicores;
+  if (want->memory_mb > st->allocated.memory_mb)
+    more.memory_mb = want->memory_mb - st->allocated.memory_mb;
   const struct scheduler_quota *q = &st->customer->quota;
-  const struct order_amount *used = &st->customer->used;
+  const struct resource_amount *used = &st->customer->used;
   if (used->millicores + more.millicores > q->max_millicores
       || used->memory_mb + more.memory_mb > q->max_memory_mb || !sched_fits (w, &more, NULL))
     return false;
   sched_mix_remove (w, st);
-  add (&w->held, &more);
+  add (&w->allocated, &more);
   add (&st->customer->used, &more);
-  add (&st->hold, &more);
+  add (&st->allocated, &more);
   sched_mix_add (w, st);
   sched_update_row (s, w);
   return true;
 }
 
-/* A placement of an earlier leader: it fits the worker by that leader's books.  */
+/* A placement by an earlier leader: it fits the worker according to that leader's accounting.  */
 static void
-adopt (struct scheduler *s, struct sched_task *st)
+adopt_placement (struct scheduler *s, struct sched_task *st)
 {
   const cell_size *size = &st->t->job->spec.size;
-  struct order_amount need = { size->millicores, size->memory_mb, size->accelerators };
+  struct resource_amount need = { size->millicores, size->memory_mb, size->accelerators };
   struct sched_worker *w = sched_find_worker (s, st->t->worker);
   if (!w)
     {
       w = sched_add_worker (s, st->t->worker);
       w->lease_until_ms = s->now_ms + SCHEDULER_LEASE_MS;
     }
-  take (s, st, w, need);
-  st->held_epoch = st->t->epoch;
+  allocate (s, st, w, need);
+  st->allocated_epoch = st->t->epoch;
 }
 
 static void
-forget_run (struct sched_task *st)
+reset_run (struct sched_task *st)
 {
-  st->held_epoch = 0;
+  st->allocated_epoch = 0;
   st->listed_epoch = 0;
   st->listed_poll = 0;
   st->run_from_ms = 0;
-  st->proven = false;
+  st->stable = false;
   st->start_sent_ms = 0;
   st->stop_sent_ms = 0;
   st->checkpoint_ms = 0;
@@ -155,8 +157,8 @@
   st->limit_sent = 0;
   st->limit_repeats = 0;
   st->limit = SCHED_LIMIT_NONE;
-  st->over_samples = 0;
-  st->want_stop = CELL_STOP_NONE;
+  st->oversize_samples = 0;
+  st->requested_stop = CELL_STOP_NONE;
   st->used_millicores = 0;
   st->used_memory_mb = 0;
   st->slowdown_milli = 0;
@@ -173,16 +175,16 @@
   struct sched_worker *w = st->worker;
   if (!w)
     return;
-  sched_learn_ended (s, st);
+  sched_record_run_end (s, st);
   sched_mix_remove (w, st);
   TAILQ_REMOVE (&w->tasks, st, link);
   if (sched_is_urgent (st))
     w->urgent_count--;
-  subtract (&w->held, &st->hold);
-  subtract (&st->customer->used, &st->hold);
-  memset (&st->hold, 0, sizeof st->hold);
+  subtract (&w->allocated, &st->allocated);
+  subtract (&st->customer->used, &st->allocated);
+  memset (&st->allocated, 0, sizeof st->allocated);
   st->worker = NULL;
-  forget_run (st);
+  reset_run (st);
   sched_update_row (s, w);
   s->round_needed = true;
 }
@@ -190,37 +192,37 @@
 void
 sched_reserve (struct scheduler *s, struct sched_task *st, struct sched_worker *w, int64_t until_ms)
 {
-  st->room = w;
-  st->room_amount = sched_need (s, st);
-  st->room_until_ms = until_ms;
-  add (&w->reserved, &st->room_amount);
-  TAILQ_INSERT_TAIL (&s->waiting, st, room_link);
-  s->room_count++;
+  st->reserved_worker = w;
+  st->reserved_amount = sched_need (s, st);
+  st->reserved_until_ms = until_ms;
+  add (&w->reserved, &st->reserved_amount);
+  TAILQ_INSERT_TAIL (&s->reservations, st, reservation_link);
+  s->reservation_count++;
   sched_update_row (s, w);
 }
 
 void
 sched_unreserve (struct scheduler *s, struct sched_task *st)
 {
-  struct sched_worker *w = st->room;
+  struct sched_worker *w = st->reserved_worker;
   if (!w)
     return;
-  subtract (&w->reserved, &st->room_amount);
-  TAILQ_REMOVE (&s->waiting, st, room_link);
-  st->room = NULL;
-  s->room_count--;
+  subtract (&w->reserved, &st->reserved_amount);
+  TAILQ_REMOVE (&s->reservations, st, reservation_link);
+  st->reserved_worker = NULL;
+  s->reservation_count--;
   sched_update_row (s, w);
 }
 
 static void
-unqueue (struct scheduler *s, struct sched_task *st)
+dequeue (struct scheduler *s, struct sched_task *st)
 {
-  if (st->item.place == 0)
+  if (st->item.heap_position == 0)
     return;
   if (st->delayed)
-    order_remove (&s->delayed, &st->item);
+    task_queue_remove (&s->delayed, &st->item);
   else
-    order_remove (&st->cls->queue, &st->item);
+    task_queue_remove (&st->cls->queue, &st->item);
   st->delayed = false;
 }
 
@@ -228,30 +230,31 @@
 sched_enqueue (struct scheduler *s, struct sched_task *st)
 {
   struct cell_task *t = st->t;
-  if (st->item.place || st->worker || st->room || st->in_flight || t->state != CELL_PENDING)
+  if (st->item.heap_position || st->worker || st->reserved_worker || st->in_flight
+      || t->state != CELL_PENDING)
     return;
   int64_t now = cell_log_time (s->cell, s->now_ms);
-  st->item.tie = t->id;
+  st->item.tie_breaker = t->id;
   if (t->not_before_ms > now)
     {
       st->delayed = true;
       st->item.key = t->not_before_ms;
-      order_push (&s->delayed, &st->item);
+      task_queue_push (&s->delayed, &st->item);
       return;
     }
   st->delayed = false;
   st->item.key = sched_key (s, st);
-  order_push (&st->cls->queue, &st->item);
+  task_queue_push (&st->cls->queue, &st->item);
   s->round_needed = true;
 }
 
 void
-sched_drop (struct scheduler *s, struct cell_task *t)
+sched_drop_task (struct scheduler *s, struct cell_task *t)
 {
   struct sched_task *st = t->soft;
   if (!st)
     return;
-  unqueue (s, st);
+  dequeue (s, st);
   sched_unreserve (s, st);
   sched_release (s, st);
   t->soft = NULL;
@@ -261,12 +264,12 @@
 }
 
 static struct sched_task *
-make (struct scheduler *s, struct cell_task *t)
+new_record (struct scheduler *s, struct cell_task *t)
 {
   struct sched_task *st = xcalloc (1, sizeof *st);
   st->t = t;
-  st->customer = sched_customer (s, t->job->spec.customer);
-  st->cls = sched_class (s, st->customer, &t->job->spec);
+  st->customer = sched_get_customer (s, t->job->spec.customer);
+  st->cls = sched_get_class (s, st->customer, &t->job->spec);
   st->item.owner = st;
   st->seen_failures = t->failures;
   t->soft = st;
@@ -274,23 +277,23 @@
 }
 
 static void
-follow_on_worker (struct scheduler *s, struct sched_task *st)
+sync_placed_task (struct scheduler *s, struct sched_task *st)
 {
   struct cell_task *t = st->t;
-  unqueue (s, st);
+  dequeue (s, st);
   sched_unreserve (s, st);
-  if (st->worker && st->held_epoch == 0)
-    st->held_epoch = t->epoch;
-  else if (st->worker && st->held_epoch != t->epoch)
+  if (st->worker && st->allocated_epoch == 0)
+    st->allocated_epoch = t->epoch;
+  else if (st->worker && st->allocated_epoch != t->epoch)
     sched_release (s, st);
   if (!st->worker)
-    adopt (s, st);
+    adopt_placement (s, st);
   if (t->state != CELL_RUNNING)
     sched_mark_ready (s, st->worker);
 }
 
 void
-sched_sync (struct scheduler *s, struct cell_task *t)
+sched_sync_task (struct scheduler *s, struct cell_task *t)
 {
   struct sched_task *st = t->soft;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
@@ -298,11 +301,11 @@
     {
       if (st && t->state == CELL_DONE)
         sched_learn_done (s, st);
-      sched_drop (s, t);
+      sched_drop_task (s, t);
       return;
     }
   if (!st)
-    st = make (s, t);
+    st = new_record (s, t);
   if (t->failures > st->seen_failures)
     {
       sched_learn_failed (s, st);
@@ -310,16 +313,16 @@
     }
   if (cell_task_on_worker (t))
     {
-      follow_on_worker (s, st);
+      sync_placed_task (s, st);
       return;
     }
-  if (st->held_epoch != 0)
+  if (st->allocated_epoch != 0)
     sched_release (s, st);
   sched_enqueue (s, st);
 }
 
 void
-sched_settle (struct scheduler *s, struct sched_task *st)
+sched_command_done (struct scheduler *s, struct sched_task *st)
 {
   if (cell_task_on_worker (st->t))
     {
@@ -333,7 +336,7 @@
 static uint32_t
 failure_backoff (const struct sched_task *st)
 {
-  if (st->t->failures == 0 && class_health_rate (&st->cls->health) > TRUSTED_RATE)
+  if (st->t->failures == 0 && class_health_success_rate (&st->cls->health) > TRUSTED_RATE)
     return TRUSTED_BACKOFF_MS;
   return worker_health_crash_backoff (st->t->failures, sched_is_urgent (st));
 }
@@ -364,7 +367,7 @@
   cell_command cmd;
   memset (&cmd, 0, sizeof cmd);
   cmd.kind = CELL_STOP;
-  cmd.cell_command_u.stop = (cell_stop){ st->t->id, st->t->epoch, st->want_stop };
+  cmd.cell_command_u.stop = (cell_stop){ st->t->id, st->t->epoch, st->requested_stop };
   sched_propose (s, &cmd, st);
 }
 
@@ -377,7 +380,7 @@
   bool listed = st->listed_epoch == t->epoch;
   if (listed && st->listed >= CELL_REPORT_DONE)
     propose_report (s, st, st->listed);
-  else if (st->want_stop != CELL_STOP_NONE && t->state != CELL_STOPPING)
+  else if (st->requested_stop != CELL_STOP_NONE && t->state != CELL_STOPPING)
     propose_stop (s, st);
   else if (listed && t->state == CELL_PLACED)
     propose_report (s, st, CELL_REPORT_RUNNING);
@@ -388,13 +391,13 @@
 void
 sched_stop (struct scheduler *s, struct sched_task *st, enum cell_stop_reason reason)
 {
-  if (st->want_stop != CELL_STOP_NONE || st->t->state == CELL_STOPPING)
+  if (st->requested_stop != CELL_STOP_NONE || st->t->state == CELL_STOPPING)
     return;
-  st->want_stop = reason;
+  st->requested_stop = reason;
   if (reason >= CELL_STOP_PREEMPT && reason <= CELL_STOP_PLAN)
     {
       s->stats.evictions++;
-      eviction_spend (&st->customer->budget, s->now_ms);
+      eviction_budget_record (&st->customer->budget, s->now_ms);
     }
   if (reason == CELL_STOP_HARM)
     s->stats.moves++;
--- a/src/scheduler/scheduler_worker.c
+++ b/src/scheduler/scheduler_worker.c
@@ -1,11 +1,11 @@
-/* Workers: announcements, polls, leases and the capacity they leave.  */
+/* Workers: announcements, polls, leases and free capacity.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
 #include "scheduler_internal.h"
 
-/* A worker that was lost this long ago and holds nothing is forgotten.  */
+/* A lost worker without allocations is removed after this time.  */
 #define FORGET_WORKER_MS 600000
 
 struct sched_worker *
@@ -53,7 +53,7 @@
   if (w->health.quarantined)
     s->quarantined--;
   cell_map_remove (&s->worker_map, &w->node);
-  free (w->unplaced_tasks);
+  free (w->unmatched_tasks);
   free (w);
 }
 
@@ -65,50 +65,52 @@
 }
 
 static uint64_t
-left (uint64_t total, uint64_t held, uint64_t unplaced, uint64_t reserved)
+unused (uint64_t total, uint64_t allocated, uint64_t unmatched, uint64_t reserved)
 {
-  uint64_t used = held + unplaced + reserved;
+  uint64_t used = allocated + unmatched + reserved;
   return used < total ? total - used : 0;
 }
 
 bool
-sched_fits (const struct sched_worker *w, const struct order_amount *need,
-            const struct order_amount *own)
+sched_fits (const struct sched_worker *w, const struct resource_amount *need,
+            const struct resource_amount *own)
 {
-  static const struct order_amount none;
-  const struct order_amount *o = own ? own : &none;
-  return need->millicores <= left (w->total.millicores, w->held.millicores, w->unplaced.millicores,
-                                   w->reserved.millicores - o->millicores)
-         && need->memory_mb <= left (w->total.memory_mb, w->held.memory_mb, w->unplaced.memory_mb,
-                                     w->reserved.memory_mb - o->memory_mb)
-         && need->accelerators <= left (w->total.accelerators, w->held.accelerators,
-                                        w->unplaced.accelerators,
-                                        w->reserved.accelerators - o->accelerators);
+  static const struct resource_amount none;
+  const struct resource_amount *o = own ? own : &none;
+  return need->millicores <= unused (w->total.millicores, w->allocated.millicores,
+                                     w->unmatched.millicores,
+                                     w->reserved.millicores - o->millicores)
+         && need->memory_mb <= unused (w->total.memory_mb, w->allocated.memory_mb,
+                                       w->unmatched.memory_mb, w->reserved.memory_mb - o->memory_mb)
+         && need->accelerators <= unused (w->total.accelerators, w->allocated.accelerators,
+                                          w->unmatched.accelerators,
+                                          w->reserved.accelerators - o->accelerators);
 }
 
 bool
-sched_within (const struct sched_worker *w)
+sched_within_capacity (const struct sched_worker *w)
 {
-  return w->held.millicores <= w->total.millicores && w->held.memory_mb <= w->total.memory_mb
-         && w->held.accelerators <= w->total.accelerators;
+  return w->allocated.millicores <= w->total.millicores
+         && w->allocated.memory_mb <= w->total.memory_mb
+         && w->allocated.accelerators <= w->total.accelerators;
 }
 
 void
 sched_update_row (struct scheduler *s, struct sched_worker *w)
 {
   struct placement_row *r = &s->rows[w->row];
-  r->free_millicores = (uint32_t)left (w->total.millicores, w->held.millicores,
-                                       w->unplaced.millicores, w->reserved.millicores);
-  r->free_memory_mb = (uint32_t)left (w->total.memory_mb, w->held.memory_mb, w->unplaced.memory_mb,
-                                      w->reserved.memory_mb);
-  r->free_accelerators = (uint32_t)left (w->total.accelerators, w->held.accelerators,
-                                         w->unplaced.accelerators, w->reserved.accelerators);
+  r->free_millicores = (uint32_t)unused (w->total.millicores, w->allocated.millicores,
+                                         w->unmatched.millicores, w->reserved.millicores);
+  r->free_memory_mb = (uint32_t)unused (w->total.memory_mb, w->allocated.memory_mb,
+                                        w->unmatched.memory_mb, w->reserved.memory_mb);
+  r->free_accelerators = (uint32_t)unused (w->total.accelerators, w->allocated.accelerators,
+                                           w->unmatched.accelerators, w->reserved.accelerators);
   r->total_millicores = (uint32_t)w->total.millicores;
   r->total_memory_mb = (uint32_t)w->total.memory_mb;
   r->rack = w->rack;
   r->urgent = w->urgent_count < UINT8_MAX ? (uint8_t)w->urgent_count : UINT8_MAX;
-  r->failures = (float)w->health.score;
-  w->shrunk = w->shrunk && !sched_within (w);
+  r->health_score = (float)w->health.score;
+  w->shrunk = w->shrunk && !sched_within_capacity (w);
   r->usable = w->announced && w->alive && worker_health_usable (&w->health, s->now_ms);
 }
 
@@ -143,7 +145,7 @@
   s->total.millicores += (uint64_t)(sign * (int64_t)w->total.millicores);
   s->total.memory_mb += (uint64_t)(sign * (int64_t)w->total.memory_mb);
   s->total.accelerators += (uint64_t)(sign * (int64_t)w->total.accelerators);
-  w->gone_since_ms = s->now_ms;
+  w->lost_since_ms = s->now_ms;
   s->round_needed = true;
   sched_update_row (s, w);
 }
@@ -155,8 +157,8 @@
 }
 
 static void
-note_listing (struct scheduler *s, struct sched_worker *w, struct sched_task *st,
-              const struct worker_task *in)
+record_listing (struct scheduler *s, struct sched_worker *w, struct sched_task *st,
+                const struct worker_task *in)
 {
   if (st->listed_epoch == in->epoch && st->listed >= CELL_REPORT_DONE && in->state < st->listed)
     return;
@@ -186,45 +188,45 @@
 }
 
 static void
-add_unplaced (struct sched_worker *w, const struct worker_task *in, const struct cell_task *t)
+add_unmatched (struct sched_worker *w, const struct worker_task *in, const struct cell_task *t)
 {
-  if (w->unplaced_count == w->unplaced_capacity)
+  if (w->unmatched_count == w->unmatched_capacity)
     {
-      w->unplaced_capacity = w->unplaced_capacity ? 2 * w->unplaced_capacity : 8;
-      w->unplaced_tasks
-          = xrealloc (w->unplaced_tasks, w->unplaced_capacity * sizeof *w->unplaced_tasks);
+      w->unmatched_capacity = w->unmatched_capacity ? 2 * w->unmatched_capacity : 8;
+      w->unmatched_tasks
+          = xrealloc (w->unmatched_tasks, w->unmatched_capacity * sizeof *w->unmatched_tasks);
     }
-  struct sched_unplaced *g = &w->unplaced_tasks[w->unplaced_count++];
+  struct sched_unmatched *g = &w->unmatched_tasks[w->unmatched_count++];
   g->task = in->task;
   g->epoch = in->epoch;
   g->running = in->state < CELL_REPORT_DONE;
-  /* An epoch above the log's belongs to a newer leader: hands off.  */
-  g->past = t && in->epoch <= t->epoch;
+  /* An epoch above the log's belongs to a newer leader: leave it alone.  */
+  g->superseded = t && in->epoch <= t->epoch;
   g->unknown = !t;
   if (!g->running)
     return;
   uint64_t millicores = t ? t->job->spec.size.millicores : in->used_millicores;
   uint64_t memory_mb = t ? t->job->spec.size.memory_mb : in->used_memory_mb;
-  w->unplaced.millicores += millicores;
-  w->unplaced.memory_mb += memory_mb;
-  w->unplaced.accelerators += t ? t->job->spec.size.accelerators : 0;
+  w->unmatched.millicores += millicores;
+  w->unmatched.memory_mb += memory_mb;
+  w->unmatched.accelerators += t ? t->job->spec.size.accelerators : 0;
 }
 
 static void
-take_listing (struct scheduler *s, struct sched_worker *w, const struct worker_task *tasks,
-              size_t count)
+apply_task_list (struct scheduler *s, struct sched_worker *w, const struct worker_task *tasks,
+                 size_t count)
 {
-  w->unplaced_count = 0;
-  memset (&w->unplaced, 0, sizeof w->unplaced);
+  w->unmatched_count = 0;
+  memset (&w->unmatched, 0, sizeof w->unmatched);
   for (size_t i = 0; i < count; i++)
     {
       const struct cell_task *t = cell_find_task (s->cell, tasks[i].task);
       struct sched_task *st = t ? t->soft : NULL;
-      if (st && st->worker == w && st->held_epoch == tasks[i].epoch && cell_task_on_worker (t)
+      if (st && st->worker == w && st->allocated_epoch == tasks[i].epoch && cell_task_on_worker (t)
           && t->epoch == tasks[i].epoch)
-        note_listing (s, w, st, &tasks[i]);
+        record_listing (s, w, st, &tasks[i]);
       else
-        add_unplaced (w, &tasks[i], t);
+        add_unmatched (w, &tasks[i], t);
     }
   sched_update_row (s, w);
 }
@@ -243,15 +245,15 @@
 }
 
 static void
-new_life (struct sched_worker *w, const struct worker_announce *a)
+begin_incarnation (struct sched_worker *w, const struct worker_announce *a)
 {
-  if (w->lease_until_ms > w->earlier_until_ms)
-    w->earlier_until_ms = w->lease_until_ms;
+  if (w->lease_until_ms > w->previous_lease_until_ms)
+    w->previous_lease_until_ms = w->lease_until_ms;
   w->incarnation = a->incarnation;
   w->sequence = 0;
   w->poll_open = false;
-  memset (&w->unplaced, 0, sizeof w->unplaced);
-  w->unplaced_count = 0;
+  memset (&w->unmatched, 0, sizeof w->unmatched);
+  w->unmatched_count = 0;
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
@@ -269,7 +271,7 @@
   w->total.accelerators = a->accelerators;
   w->rack = rack_id (s, a->rack ? a->rack : "");
   w->announced = true;
-  w->shrunk = !sched_within (w);
+  w->shrunk = !sched_within_capacity (w);
   set_alive (s, w, true);
   if (w->total.millicores > s->largest.millicores)
     s->largest = w->total;
@@ -293,17 +295,17 @@
   if (a->incarnation < w->incarnation)
     return status_set (st, STATUS_STALE_INCARNATION, "worker %s has a newer incarnation", a->id);
   if (a->incarnation > w->incarnation)
-    new_life (w, a);
+    begin_incarnation (w, a);
   set_size (s, w, a);
-  /* A repeated announcement may be old: it counts only before the first poll.  */
+  /* A repeated announcement may be outdated: its list counts only before the first poll.  */
   if (w->sequence == 0)
-    take_listing (s, w, a->tasks, a->task_count);
+    apply_task_list (s, w, a->tasks, a->task_count);
   if (w->lease_until_ms < now_ms + SCHEDULER_LEASE_MS && w->sequence == 0)
     w->lease_until_ms = now_ms + SCHEDULER_LEASE_MS;
   return 0;
 }
 
-/* A held task that the complete list of a newer poll leaves out does not run there.  */
+/* A task that the complete list of a newer poll omits does not run on that worker.  */
 static void
 check_missing (struct scheduler *s, struct sched_worker *w)
 {
@@ -313,7 +315,7 @@
     {
       next = TAILQ_NEXT (st, link);
       const struct cell_task *t = st->t;
-      if (st->listed_poll == w->sequence || st->held_epoch == 0 || !cell_task_on_worker (t))
+      if (st->listed_poll == w->sequence || st->allocated_epoch == 0 || !cell_task_on_worker (t))
         continue;
       bool listed = st->listed_epoch == t->epoch;
       if (t->incarnation != w->incarnation && !listed)
@@ -330,16 +332,16 @@
 }
 
 static bool
-wants_command (const struct scheduler *s, const struct sched_worker *w)
+has_due_command (const struct scheduler *s, const struct sched_worker *w)
 {
   const struct sched_task *st;
-  for (size_t i = 0; i < w->unplaced_count; i++)
-    if (w->unplaced_tasks[i].running && w->unplaced_tasks[i].past)
+  for (size_t i = 0; i < w->unmatched_count; i++)
+    if (w->unmatched_tasks[i].running && w->unmatched_tasks[i].superseded)
       return true;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
     bool here = st->listed_epoch == st->t->epoch && st->listed_epoch != 0;
-    if (st->t->state == CELL_PLACED && !here && sched_permit (s))
+    if (st->t->state == CELL_PLACED && !here && sched_may_start (s))
       return true;
     if (st->t->state == CELL_STOPPING && !(here && st->listed >= CELL_REPORT_DONE))
       return true;
@@ -360,16 +362,16 @@
   if (!w || !w->announced)
     return status_set (st, STATUS_NOT_FOUND, "worker %s has not announced itself", p->id);
   if (p->incarnation != w->incarnation || p->sequence <= w->sequence)
-    return status_set (st, STATUS_STALE_INCARNATION, "an old poll of worker %s", p->id);
+    return status_set (st, STATUS_STALE_INCARNATION, "stale poll from worker %s", p->id);
   w->sequence = p->sequence;
   w->handled_ms = now_ms;
   w->poll_open = true;
   set_alive (s, w, true);
-  take_listing (s, w, p->tasks, p->task_count);
+  apply_task_list (s, w, p->tasks, p->task_count);
   check_missing (s, w);
   sched_learn_poll (s, w, p);
   sched_guard_poll (s, w, p);
-  if (wants_command (s, w))
+  if (has_due_command (s, w))
     sched_mark_ready (s, w);
   return 0;
 }
@@ -385,20 +387,20 @@
   sched_propose (s, &cmd, st);
 }
 
-/* Gives up tasks whose lease ended: all of a silent worker, and those of an earlier incarnation
-   that the present one does not run.  */
+/* Proposes the loss of tasks whose lease has expired: all tasks of a silent worker, and those of an
+   earlier incarnation that the current one does not run.  */
 static void
-expire (struct scheduler *s, struct sched_worker *w)
+expire_leases (struct scheduler *s, struct sched_worker *w)
 {
   bool silent = s->now_ms > w->lease_until_ms + SCHEDULER_LEASE_MARGIN_MS;
-  bool earlier = s->now_ms > w->earlier_until_ms + SCHEDULER_LEASE_MARGIN_MS;
+  bool earlier = s->now_ms > w->previous_lease_until_ms + SCHEDULER_LEASE_MARGIN_MS;
   if (silent)
     set_alive (s, w, false);
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
     const struct cell_task *t = st->t;
-    if (st->in_flight || st->held_epoch == 0 || !cell_task_on_worker (t))
+    if (st->in_flight || st->allocated_epoch == 0 || !cell_task_on_worker (t))
       continue;
     bool of_earlier = w->announced && t->incarnation != w->incarnation
                       && st->listed_epoch != t->epoch && w->sequence > 0;
@@ -410,13 +412,13 @@
 static void
 scan_worker (struct scheduler *s, struct sched_worker *w)
 {
-  bool held = !TAILQ_EMPTY (&w->tasks);
-  if (held || w->alive)
-    expire (s, w);
+  bool allocated = !TAILQ_EMPTY (&w->tasks);
+  if (allocated || w->alive)
+    expire_leases (s, w);
   if (w->retry_at_ms && s->now_ms >= w->retry_at_ms)
     {
       w->retry_at_ms = 0;
-      if (wants_command (s, w))
+      if (has_due_command (s, w))
         sched_mark_ready (s, w);
     }
   if (w->poll_open && s->now_ms - w->handled_ms >= SCHEDULER_HEARTBEAT_MS)
@@ -433,7 +435,7 @@
       struct sched_worker *w = s->workers[i];
       scan_worker (s, w);
       bool idle = TAILQ_EMPTY (&w->tasks) && w->reserved.millicores == 0;
-      if (!w->alive && idle && s->now_ms - w->gone_since_ms > FORGET_WORKER_MS)
+      if (!w->alive && idle && s->now_ms - w->lost_since_ms > FORGET_WORKER_MS)
         free_worker (s, w);
     }
 }
--- a/src/scheduler/worker_health.c
+++ b/src/scheduler/worker_health.c
@@ -2,10 +2,10 @@
 
 #include <math.h>
 
-#define CLASS_MEMORY 50.0 /* outcomes a class remembers */
+#define CLASS_MAX_OUTCOMES 50.0 /* older outcomes of a class decay beyond this count */
 #define QUARANTINE_SCORE 1.4
 #define QUARANTINE_FAILURES 2
-#define SUCCESS_RELIEF 0.7
+#define SUCCESS_SCORE_REDUCTION 0.7
 #define MAX_SCORE 5.0
 #define URGENT_BACKOFF_MS 500
 #define BATCH_BACKOFF_MS 2000
@@ -13,13 +13,13 @@
 #define MAX_DOUBLINGS 9
 
 void
-class_health_note (struct class_health *c, bool success)
+class_health_record (struct class_health *c, bool success)
 {
   double total = c->successes + c->failures;
-  if (total >= CLASS_MEMORY)
+  if (total >= CLASS_MAX_OUTCOMES)
     {
-      c->successes *= 1 - 1 / CLASS_MEMORY;
-      c->failures *= 1 - 1 / CLASS_MEMORY;
+      c->successes *= 1 - 1 / CLASS_MAX_OUTCOMES;
+      c->failures *= 1 - 1 / CLASS_MAX_OUTCOMES;
     }
   if (success)
     c->successes++;
@@ -28,16 +28,17 @@
 }
 
 double
-class_health_rate (const struct class_health *c)
+class_health_success_rate (const struct class_health *c)
 {
   return (c->successes + 1) / (c->successes + c->failures + 2);
 }
 
 static void
-back_off (struct worker_health *h, int64_t now_ms)
+extend_backoff (struct worker_health *h, int64_t now_ms)
 {
-  int64_t next = h->backoff_ms ? 2 * h->backoff_ms : WORKER_HEALTH_FIRST_PROBE_MS;
-  h->backoff_ms = next < WORKER_HEALTH_LAST_PROBE_MS ? next : WORKER_HEALTH_LAST_PROBE_MS;
+  int64_t next = h->backoff_ms ? 2 * h->backoff_ms : WORKER_HEALTH_MIN_PROBE_BACKOFF_MS;
+  h->backoff_ms
+      = next < WORKER_HEALTH_MAX_PROBE_BACKOFF_MS ? next : WORKER_HEALTH_MAX_PROBE_BACKOFF_MS;
   h->probe_at_ms = now_ms + h->backoff_ms;
   h->probing = false;
 }
@@ -46,18 +47,18 @@
 worker_health_failed (struct worker_health *h, const struct class_health *c, int64_t now_ms,
                       bool may_quarantine)
 {
-  double weight = class_health_rate (c);
+  double weight = class_health_success_rate (c);
   h->failures++;
   h->score = fmin (h->score + weight, MAX_SCORE);
   if (h->quarantined)
     {
-      back_off (h, now_ms);
+      extend_backoff (h, now_ms);
       return false;
     }
   if (!may_quarantine || h->failures < QUARANTINE_FAILURES || h->score < QUARANTINE_SCORE)
     return false;
   h->quarantined = true;
-  back_off (h, now_ms);
+  extend_backoff (h, now_ms);
   return true;
 }
 
@@ -66,12 +67,12 @@
 {
   bool ended = h->quarantined;
   h->failures = 0;
-  h->score *= 1 - SUCCESS_RELIEF;
+  h->score *= 1 - SUCCESS_SCORE_REDUCTION;
   h->quarantined = false;
   h->probing = false;
-  /* The back-off is kept shorter, not forgotten: a worker that fails again soon waits longer.  */
+  /* The back-off is halved, not reset: a worker that soon fails again waits longer.  */
   h->backoff_ms /= 2;
-  if (h->backoff_ms < WORKER_HEALTH_FIRST_PROBE_MS / 2)
+  if (h->backoff_ms < WORKER_HEALTH_MIN_PROBE_BACKOFF_MS / 2)
     h->backoff_ms = 0;
   return ended;
 }
@@ -83,13 +84,13 @@
 }
 
 void
-worker_health_probe (struct worker_health *h)
+worker_health_begin_probe (struct worker_health *h)
 {
   h->probing = h->quarantined;
 }
 
 void
-worker_health_probe_void (struct worker_health *h, int64_t now_ms)
+worker_health_cancel_probe (struct worker_health *h, int64_t now_ms)
 {
   if (!h->probing)
     return;
--- a/tests/test_interference.c
+++ b/tests/test_interference.c
@@ -1,5 +1,5 @@
-/* Guards against blaming a harmless class for a noisy neighbour and against trusting old estimates.
- */
+/* Guards against attributing the slowdown of a noisy class to a harmless one, and against trusting
+   outdated estimates.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -32,11 +32,11 @@
   assert_true (interference_coefficient (m, service, noisy, 0.6) > 1.7);
   assert_true (interference_coefficient (m, service, noisy, 0.6) < 2.3);
   assert_true (interference_coefficient (m, service, harmless, 0.6) < 0.25);
-  /* A load without samples of its own borrows the estimate.  */
+  /* A load band without samples of its own uses the estimate of another band.  */
   assert_true (interference_coefficient (m, service, noisy, 0.95) > 1.5);
-  assert_true (interference_known (m, service, noisy));
+  assert_true (interference_is_confident (m, service, noisy));
   interference_decay (m, 0.001);
-  assert_false (interference_known (m, service, noisy));
+  assert_false (interference_is_confident (m, service, noisy));
   interference_free (m);
 }
 
@@ -49,8 +49,8 @@
     {
       char name[16];
       snprintf (name, sizeof name, "c%d", i);
-      assert_in_range (interference_class (m, name), 0, INTERFERENCE_CLASSES - 1);
-      assert_in_range (interference_service (m, name), 0, INTERFERENCE_SERVICES - 1);
+      assert_in_range (interference_class (m, name), 0, INTERFERENCE_MAX_CLASSES - 1);
+      assert_in_range (interference_service (m, name), 0, INTERFERENCE_MAX_SERVICES - 1);
     }
   interference_free (m);
 }
--- a/tests/test_placement.c
+++ b/tests/test_placement.c
@@ -1,5 +1,5 @@
-/* Guards against a placement that does not fit, breaks the rack limit, uses a refused worker, or
-   ignores harm to urgent work.  */
+/* Guards against a placement that does not fit, exceeds the rack limit, uses a refused worker, or
+   ignores the slowdown of urgent work.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -12,15 +12,15 @@
 
 struct context
 {
-  size_t harmful;
+  size_t interfering;
   size_t avoided;
 };
 
 static double
-harm (void *ctx, size_t row)
+interference (void *ctx, size_t row)
 {
   const struct context *c = ctx;
-  return row == c->harmful ? PLACEMENT_REFUSED : row == 1 ? 0.5 : 0;
+  return row == c->interfering ? PLACEMENT_REFUSED : row == 1 ? 0.5 : 0;
 }
 
 static bool
@@ -44,7 +44,7 @@
 }
 
 static void
-test_filter_and_harm (void **state)
+test_filter_and_interference (void **state)
 {
   (void)state;
   struct placement_row rows[4];
@@ -52,7 +52,8 @@
   struct context ctx = { 0, 2 };
   rng_init (&rng, 1);
   fill (rows, 4);
-  struct placement_request q = { .millicores = 1000, .memory_mb = 1000, .harm = harm };
+  struct placement_request q
+      = { .millicores = 1000, .memory_mb = 1000, .interference = interference };
   q.avoid = avoid;
   q.ctx = &ctx;
   for (int i = 0; i < 50; i++)
@@ -86,7 +87,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_filter_and_harm),
+    cmocka_unit_test (test_filter_and_interference),
     cmocka_unit_test (test_rack_limit_and_spread),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -1,6 +1,6 @@
-/* Guards against a leader that breaks a rule on a quiet network: commits a worker beyond its size,
-   starts without a permit or before the placement is committed, ignores stale messages, leaves
-   bad workers or bad jobs running in circles, or forgets a task.  */
+/* Guards against invariant violations on a fault-free network: a worker allocated beyond its size,
+   a start without a permit or before the placement is committed, acceptance of stale messages,
+   endless retries of failing workers or jobs, and forgotten tasks.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -22,7 +22,7 @@
 static bool permit;
 static struct scheduler_quota quota;
 static uint32_t submitted;
-static uint64_t next_deadline_ms; /* of the next submissions, 0 is none */
+static uint64_t next_deadline_ms; /* of the next submissions; 0: none */
 
 static bool
 get_quota (void *ctx, const char *customer, struct scheduler_quota *out)
@@ -206,7 +206,7 @@
 }
 
 static void
-test_simple_path (void **state)
+test_batch_job_completes (void **state)
 {
   (void)state;
   open_cell (2, 4000);
@@ -288,7 +288,7 @@
   close_cell ();
 }
 
-/* The leader hears from no worker for MS.  */
+/* No worker reaches the leader for MS.  */
 static void
 run_silent (int64_t ms)
 {
@@ -313,7 +313,7 @@
   uint64_t epoch = t->epoch;
   scheduler_lead (sched, now_ms, false);
   scheduler_lead (sched, now_ms, true);
-  /* The workers' leases still run after 6 s: the task goes on where it is.  */
+  /* The workers' leases still run after 6 s: the task keeps running where it is.  */
   run_silent (6000);
   assert_int_equal (t->state, CELL_RUNNING);
   for (size_t i = 0; i < worker_count; i++)
@@ -321,7 +321,7 @@
   run_for (1000);
   assert_int_equal (t->epoch, epoch);
   assert_int_equal (t->state, CELL_RUNNING);
-  /* Nobody reports to the next leader: the task is given up after lease + margin, not before.  */
+  /* No worker reports to the next leader: the task is lost after lease + margin, not before.  */
   scheduler_lead (sched, now_ms, false);
   scheduler_lead (sched, now_ms, true);
   run_silent (SCHEDULER_LEASE_MS + SCHEDULER_LEASE_MARGIN_MS);
@@ -345,8 +345,8 @@
   return a.covered_lease_ms;
 }
 
-/* Guards against a cut-off cell that renews tasks with a standby copy for 20 s after each change of
-   its leader, which outlasts the wait before the copy starts.  */
+/* Guards against an isolated cell that renews tasks with a standby copy for 20 s after each change
+   of its leader, which outlasts the wait before the copy starts.  */
 static void
 test_new_leader_without_permit_renews_no_covered_task (void **state)
 {
@@ -387,7 +387,7 @@
   close_cell ();
 }
 
-/* A worker polls after its placement was given up, but before that is committed.  */
+/* A worker polls after the loss of its placement was proposed, but before that is committed.  */
 static void
 test_no_start_of_a_placement_that_is_given_up (void **state)
 {
@@ -432,7 +432,7 @@
   close_cell ();
 }
 
-/* Small tasks must not take every piece of the room that a large one with a deadline needs.  */
+/* Small tasks must not take each piece of capacity that a large task with a deadline needs.  */
 static void
 test_large_task_meets_its_deadline_among_small_ones (void **state)
 {
@@ -568,7 +568,7 @@
   open_cell (2, 4000);
   run_for (200);
   char name[] = "huron";
-  char stranger[] = "stranger";
+  char unlisted[] = "stranger";
   cell_job_spec s;
   struct status st;
   memset (&s, 0, sizeof s);
@@ -583,7 +583,7 @@
   s.max_per_rack = 2;
   assert_int_equal (scheduler_admit (sched, &s, &st), -1);
   s.max_per_rack = 3;
-  s.customer = stranger;
+  s.customer = unlisted;
   assert_int_equal (scheduler_admit (sched, &s, &st), -1);
   assert_int_equal (st.kind, STATUS_UNKNOWN_CUSTOMER);
   close_cell ();
@@ -694,7 +694,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_simple_path),
+    cmocka_unit_test (test_batch_job_completes),
     cmocka_unit_test (test_no_start_without_permit),
     cmocka_unit_test (test_urgent_preempts_batch),
     cmocka_unit_test (test_eviction_budget_holds),
--- a/tests/test_scheduler_faults.c
+++ b/tests/test_scheduler_faults.c
@@ -1,8 +1,8 @@
-/* Guards against a broken rule under seeded faults: lost, late, repeated and reordered messages,
-   worker death and restart, leader change with a leader that does not notice, and permit loss.
-   After every step: books and sizes (scheduler_check), no task running twice, no worker running
-   more than it has, no start outside a permit, no start of a placement that is not committed.
-   After the faults stop every job must end.  */
+/* Guards against invariant violations under seeded faults: lost, late, repeated and reordered
+   messages, worker crashes and restarts, a leader change that the old leader does not notice, and
+   permit loss.  After every step: accounting and sizes (scheduler_check), no task running twice, no
+   worker running more than its size, no start outside a permit, no start of a placement that is not
+   committed.  After the faults stop every job must end.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -21,7 +21,7 @@
 #define MAX_MESSAGES 4096
 #define MAX_JOBS 400
 #define FAULTS_MS 90000
-#define CALM_MS 240000
+#define RECOVERY_MS 240000
 #define SEEDS 40
 
 struct message
@@ -59,7 +59,7 @@
   size_t applied[NODES];
   bool thinks_leader[NODES];
   int64_t confirmed_ms[NODES];
-  int leader; /* the one that can commit */
+  int leader; /* the node that can commit */
   struct entry *log;
   size_t log_count;
   size_t log_capacity;
@@ -182,7 +182,7 @@
   assert_true (c->c.epoch <= t->epoch);
 }
 
-/* A report may be forgotten only after the log has recorded the end of that run.  */
+/* A worker may drop a report only after the log has recorded the end of that run.  */
 static void
 check_forget (struct world *w, const struct fake_command *c)
 {
@@ -204,8 +204,7 @@
       f->poll_out = false;
       return;
     }
-  /* A late answer to an abandoned poll still carries commands with epochs: a worker may act on it.
-   */
+  /* A late answer to an abandoned poll still carries epochs: a worker may act on its commands.  */
   fake_renew (f, m->lease_ms, m->covered_ms, m->poll_sent_ms);
   for (size_t i = 0; i < m->count; i++)
     {
@@ -355,7 +354,7 @@
   scheduler_check (s);
 }
 
-/* Entries that are not committed are lost; the old leader may not notice for a while.  */
+/* Uncommitted entries are lost; the old leader may not notice the change for a while.  */
 static void
 change_leader (struct world *w)
 {
@@ -384,7 +383,7 @@
     }
   if (w->faults && rng_chance (&w->rng, 0.001))
     {
-      /* Its quorum is gone first: it is not confirmed any longer.  */
+      /* Its quorum is lost first: it is no longer confirmed.  */
       w->confirmed_ms[w->leader] = w->now_ms;
       change_leader (w);
     }
@@ -550,7 +549,7 @@
 }
 
 static void
-same_state (struct world *w)
+check_same_state (struct world *w)
 {
   struct buffer a;
   struct buffer b;
@@ -583,7 +582,7 @@
       step (&w);
     }
   w.faults = false;
-  end = w.now_ms + CALM_MS;
+  end = w.now_ms + RECOVERY_MS;
   while (w.now_ms < end && !all_settled (&w))
     step (&w);
   if (!all_settled (&w))
@@ -593,7 +592,7 @@
       scheduler_dump (w.scheds[w.leader], &out);
       fail_msg ("seed %llu: jobs did not end\n%s", (unsigned long long)seed, out.data);
     }
-  same_state (&w);
+  check_same_state (&w);
   close_world (&w);
 }
 
--- a/tests/test_worker_health.c
+++ b/tests/test_worker_health.c
@@ -1,5 +1,5 @@
-/* Guards against quarantining good workers for bad jobs, against never trying a quarantined worker
-   again, and against probing it with more than one task.  */
+/* Guards against quarantining healthy workers for failing jobs, against never probing a quarantined
+   worker again, and against probing it with more than one task.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -11,7 +11,7 @@
 #include "worker_health.h"
 
 static void
-test_bad_class_does_not_condemn_the_worker (void **state)
+test_failing_class_does_not_quarantine_the_worker (void **state)
 {
   (void)state;
   struct worker_health h;
@@ -19,7 +19,7 @@
   memset (&h, 0, sizeof h);
   memset (&c, 0, sizeof c);
   for (int i = 0; i < 50; i++)
-    class_health_note (&c, false);
+    class_health_record (&c, false);
   for (int i = 0; i < 10; i++)
     assert_false (worker_health_failed (&h, &c, 0, true));
 }
@@ -33,18 +33,18 @@
   memset (&h, 0, sizeof h);
   memset (&c, 0, sizeof c);
   for (int i = 0; i < 50; i++)
-    class_health_note (&c, true);
+    class_health_record (&c, true);
   assert_false (worker_health_failed (&h, &c, 0, true));
   assert_true (worker_health_failed (&h, &c, 0, true));
-  assert_false (worker_health_usable (&h, WORKER_HEALTH_FIRST_PROBE_MS - 1));
-  assert_true (worker_health_usable (&h, WORKER_HEALTH_FIRST_PROBE_MS));
-  worker_health_probe (&h);
-  assert_false (worker_health_usable (&h, WORKER_HEALTH_FIRST_PROBE_MS));
-  worker_health_failed (&h, &c, WORKER_HEALTH_FIRST_PROBE_MS, true);
-  assert_false (worker_health_usable (&h, 3 * WORKER_HEALTH_FIRST_PROBE_MS - 1));
-  assert_true (worker_health_usable (&h, 3 * WORKER_HEALTH_FIRST_PROBE_MS));
-  worker_health_probe (&h);
-  worker_health_probe_void (&h, 100000);
+  assert_false (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS - 1));
+  assert_true (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
+  worker_health_begin_probe (&h);
+  assert_false (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
+  worker_health_failed (&h, &c, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS, true);
+  assert_false (worker_health_usable (&h, 3 * WORKER_HEALTH_MIN_PROBE_BACKOFF_MS - 1));
+  assert_true (worker_health_usable (&h, 3 * WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
+  worker_health_begin_probe (&h);
+  worker_health_cancel_probe (&h, 100000);
   assert_true (worker_health_usable (&h, 100000));
   assert_true (worker_health_succeeded (&h));
   assert_true (worker_health_usable (&h, 0));
@@ -63,7 +63,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_bad_class_does_not_condemn_the_worker),
+    cmocka_unit_test (test_failing_class_does_not_quarantine_the_worker),
     cmocka_unit_test (test_quarantine_and_single_probe),
     cmocka_unit_test (test_crash_backoff_grows_and_is_bounded),
   };
