--- a/bench/scheduler_cost.c
+++ b/bench/scheduler_cost.c
@@ -199,8 +199,8 @@
 tick (struct bench *b, uint32_t starts)
 {
   b->now_ms += TICK_MS;
-  scheduler_confirm (b->sched, b->now_ms + 1000);
-  scheduler_permit (b->sched, b->now_ms + 3000);
+  scheduler_confirm_leadership (b->sched, b->now_ms + 1000);
+  scheduler_extend_permit (b->sched, b->now_ms + 3000);
   for (uint32_t i = 0; i < starts; i++)
     end_one (b);
   for (size_t i = 0; i < b->worker_count; i++)
@@ -227,7 +227,7 @@
   cell_init (&b->cell, 1);
   struct scheduler_config config = { .cell = &b->cell, .seed = 1 };
   b->sched = scheduler_new (&config);
-  scheduler_lead (b->sched, b->now_ms, true);
+  scheduler_set_leader (b->sched, b->now_ms, true);
   b->workers = xcalloc (workers, sizeof *b->workers);
   for (size_t i = 0; i < workers; i++)
     {
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -435,10 +435,10 @@
   int64_t at = s->now_ms - s->start_ms;
   bool out = s->scenario == OUT && at > 600000 && at < 900000;
   if (s->scenario == OUT && (at == 600020 || at == 900000))
-    scheduler_data_centre (s->sched, s->now_ms, out);
-  scheduler_confirm (s->sched, s->now_ms + 1000);
+    scheduler_set_data_centre_out (s->sched, s->now_ms, out);
+  scheduler_confirm_leadership (s->sched, s->now_ms + 1000);
   if (!out)
-    scheduler_permit (s->sched, s->now_ms + 3000);
+    scheduler_extend_permit (s->sched, s->now_ms + 3000);
   /* What was proposed in the last step is committed now.  */
   for (size_t i = 0; i < s->waiting_count; i++)
     {
@@ -515,7 +515,7 @@
   cell_init (&s.cell, 1);
   struct scheduler_config config = { .cell = &s.cell, .seed = seed, .policy = policy };
   s.sched = scheduler_new (&config);
-  scheduler_lead (s.sched, s.now_ms, true);
+  scheduler_set_leader (s.sched, s.now_ms, true);
   for (size_t i = 0; i < setup->workers; i++)
     {
       struct fake_worker *w = &s.workers[i];
--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -272,8 +272,8 @@
 {
   s->leading = false;
   permit_holder_stop (&s->permit, now_ms);
-  scheduler_permit (s->scheduler, 0);
-  scheduler_lead (s->scheduler, now_ms, false);
+  scheduler_extend_permit (s->scheduler, 0);
+  scheduler_set_leader (s->scheduler, now_ms, false);
   cell_transfers_lead (s->transfers, false);
   refuse_all_polls (s, STATUS_NOT_LEADER, "the cell has a new leader");
 }
@@ -283,7 +283,7 @@
 {
   s->leading = true;
   s->transferring = false;
-  scheduler_lead (s->scheduler, now_ms, true);
+  scheduler_set_leader (s->scheduler, now_ms, true);
   cell_transfers_lead (s->transfers, true);
   log_line (LOG_INFO, "cell %s: this VM leads in term %llu", s->config.data_centre,
             (unsigned long long)group_term (s->group));
@@ -303,7 +303,7 @@
   if (!s->transferring)
     {
       s->confirmed_until_ms = s->round_began_ms + CONFIRMED_FOR_MS;
-      scheduler_confirm (s->scheduler, s->confirmed_until_ms);
+      scheduler_confirm_leadership (s->scheduler, s->confirmed_until_ms);
     }
 }
 
@@ -396,7 +396,7 @@
   if (s->out || s->permit.epoch != s->cell.epoch)
     left = 0;
   counter_set (&permit_gauge, left);
-  scheduler_permit (s->scheduler, left > 0 ? now_ms + left : 0);
+  scheduler_extend_permit (s->scheduler, left > 0 ? now_ms + left : 0);
 }
 
 /* True while a start command that was already sent may still be obeyed.  */
@@ -464,7 +464,7 @@
       permit_holder_stop (&s->permit, now_ms);
     }
   s->out = dc->out;
-  scheduler_data_centre (s->scheduler, now_ms, dc->out);
+  scheduler_set_data_centre_out (s->scheduler, now_ms, dc->out);
   if (dc->out)
     acknowledge_out (s, dc, now_ms);
   follow_cell_epoch (s, dc, now_ms);
@@ -534,8 +534,8 @@
   /* Also while the data centre is out: the answer tells which cells can take its tasks.  */
   ask_permit (s, now_ms);
   use_permit (s, now_ms);
-  scheduler_peers (s->scheduler, cell_transfers_cells (s->transfers),
-                   cell_transfers_cell_count (s->transfers));
+  scheduler_set_peer_cells (s->scheduler, cell_transfers_cells (s->transfers),
+                            cell_transfers_cell_count (s->transfers));
   scheduler_tick (s->scheduler, now_ms);
   drain_scheduler (s);
   drain_moves (s, now_ms);
@@ -548,7 +548,7 @@
 void
 cell_service_plans_changed (struct cell_service *s)
 {
-  scheduler_plans (s->scheduler, clock_now_ms (s->config.clock));
+  scheduler_reload_quotas (s->scheduler, clock_now_ms (s->config.clock));
 }
 
 bool
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -33,7 +33,7 @@
 }
 
 struct scheduler_quota
-scheduler_open_quota (void)
+scheduler_unlimited_quota (void)
 {
   return (struct scheduler_quota){ .weight = 1,
                                    .max_millicores = SCHEDULER_NO_LIMIT,
@@ -45,7 +45,7 @@
 static void
 load_quota (const struct scheduler *s, struct sched_customer *c)
 {
-  c->quota = scheduler_open_quota ();
+  c->quota = scheduler_unlimited_quota ();
   c->known = !s->config.quota || s->config.quota (s->config.quota_ctx, c->name, &c->quota);
 }
 
@@ -329,7 +329,7 @@
 /* Inputs.  */
 
 void
-scheduler_lead (struct scheduler *s, int64_t now_ms, bool leader)
+scheduler_set_leader (struct scheduler *s, int64_t now_ms, bool leader)
 {
   s->now_ms = now_ms;
   if (leader == s->leading)
@@ -347,7 +347,7 @@
 }
 
 void
-scheduler_confirm (struct scheduler *s, int64_t until_ms)
+scheduler_confirm_leadership (struct scheduler *s, int64_t until_ms)
 {
   if (until_ms > s->confirmed_until_ms)
     s->confirmed_until_ms = until_ms;
@@ -355,7 +355,7 @@
 
 /* Starts that waited for a permit are sent as soon as it is renewed.  */
 void
-scheduler_permit (struct scheduler *s, int64_t until_ms)
+scheduler_extend_permit (struct scheduler *s, int64_t until_ms)
 {
   if (until_ms > s->permit_until_ms)
     s->permit_until_ms = until_ms;
@@ -369,7 +369,7 @@
 }
 
 void
-scheduler_data_centre (struct scheduler *s, int64_t now_ms, bool out)
+scheduler_set_data_centre_out (struct scheduler *s, int64_t now_ms, bool out)
 {
   s->now_ms = now_ms;
   s->out = out;
@@ -377,7 +377,8 @@
 }
 
 void
-scheduler_peers (struct scheduler *s, const struct scheduler_peer_cell *cells, size_t count)
+scheduler_set_peer_cells (struct scheduler *s, const struct scheduler_peer_cell *cells,
+                          size_t count)
 {
   free (s->peers);
   s->peers = xcalloc (count, sizeof *s->peers);
@@ -387,7 +388,7 @@
 }
 
 void
-scheduler_plans (struct scheduler *s, int64_t now_ms)
+scheduler_reload_quotas (struct scheduler *s, int64_t now_ms)
 {
   struct sched_customer *c;
   s->now_ms = now_ms;
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -15,10 +15,10 @@
    answers: (now - time the poll was handled) + permit left.
 
    Leases: the answer to a poll renews the worker's lease for lease_ms counted from when the
-   worker sent the poll.  Only a leader confirmed by a quorum renews it (scheduler_confirm): an
-   unconfirmed answer carries lease 0.  A worker stops all its tasks when its lease ends, and the
-   tasks marked covered when covered_lease_ms ends.  Capacity becomes free only after a confirmed
-   stop, or after the worker was silent for lease + margin.
+   worker sent the poll.  Only a leader confirmed by a quorum renews it
+   (scheduler_confirm_leadership): an unconfirmed answer carries lease 0.  A worker stops all its
+   tasks when its lease ends, and the tasks marked covered when covered_lease_ms ends.  Capacity
+   becomes free only after a confirmed stop, or after the worker was silent for lease + margin.
 
    Reports: a worker repeats a report in each poll until a FORGET command for that task and epoch
    arrives.  The task list of a poll is complete, so comparing it with the log repairs lost,
@@ -219,22 +219,23 @@
 
 struct scheduler;
 
-struct scheduler_quota scheduler_open_quota (void); /* Weight 1 and no limits. */
+struct scheduler_quota scheduler_unlimited_quota (void); /* Weight 1 and no limits. */
 struct scheduler *scheduler_new (const struct scheduler_config *config); /* Starts as a follower. */
 void scheduler_free (struct scheduler *s);
 
 /* Inputs.  */
-void scheduler_lead (struct scheduler *s, int64_t now_ms,
-                     bool leader); /* Leadership gained (own log applied) or lost. */
-void scheduler_confirm (struct scheduler *s,
-                        int64_t until_ms); /* No other leader can exist before UNTIL_MS. */
-void scheduler_permit (struct scheduler *s,
-                       int64_t until_ms); /* Starts are allowed until UNTIL_MS. */
-void scheduler_data_centre (struct scheduler *s, int64_t now_ms,
-                            bool out); /* The data centre was taken out or returned. */
-void scheduler_peers (struct scheduler *s, const struct scheduler_peer_cell *cells,
-                      size_t count); /* Cells that may receive tasks; may be none. */
-void scheduler_plans (struct scheduler *s, int64_t now_ms); /* Quotas changed: reads them again. */
+void scheduler_set_leader (struct scheduler *s, int64_t now_ms,
+                           bool leader); /* Leadership gained (own log applied) or lost. */
+void scheduler_confirm_leadership (struct scheduler *s,
+                                   int64_t until_ms); /* No other leader before UNTIL_MS. */
+void scheduler_extend_permit (struct scheduler *s,
+                              int64_t until_ms); /* Starts are allowed until UNTIL_MS. */
+void scheduler_set_data_centre_out (struct scheduler *s, int64_t now_ms,
+                                    bool out); /* The data centre was taken out or returned. */
+void scheduler_set_peer_cells (struct scheduler *s, const struct scheduler_peer_cell *cells,
+                               size_t count); /* Cells that may receive tasks; may be none. */
+void scheduler_reload_quotas (struct scheduler *s,
+                              int64_t now_ms); /* Quotas changed: reads them again. */
 int scheduler_announce (struct scheduler *s, int64_t now_ms, const struct worker_announce *a,
                         struct status *st); /* A worker registers. */
 int scheduler_poll (struct scheduler *s, int64_t now_ms, const struct worker_poll *p,
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -49,7 +49,7 @@
 int
 scheduler_admit (struct scheduler *s, const cell_job_spec *spec, struct status *st)
 {
-  struct scheduler_quota q = scheduler_open_quota ();
+  struct scheduler_quota q = scheduler_unlimited_quota ();
   if (s->config.quota && !s->config.quota (s->config.quota_ctx, spec->customer, &q))
     return status_set (st, STATUS_UNKNOWN_CUSTOMER, "customer %s is not in the list",
                        spec->customer);
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -38,13 +38,13 @@
 open_cell (size_t count, uint32_t millicores)
 {
   struct scheduler_config config = { .cell = &cell, .quota = get_quota, .seed = 1 };
-  quota = scheduler_open_quota ();
+  quota = scheduler_unlimited_quota ();
   now_ms = 1000;
   permit = true;
   worker_count = count;
   cell_init (&cell, 1);
   sched = scheduler_new (&config);
-  scheduler_lead (sched, now_ms, true);
+  scheduler_set_leader (sched, now_ms, true);
   memset (workers, 0, sizeof workers);
   for (size_t i = 0; i < count; i++)
     {
@@ -138,9 +138,9 @@
 step (void)
 {
   now_ms += STEP_MS;
-  scheduler_confirm (sched, now_ms + 1000);
+  scheduler_confirm_leadership (sched, now_ms + 1000);
   if (permit)
-    scheduler_permit (sched, now_ms + 3000);
+    scheduler_extend_permit (sched, now_ms + 3000);
   for (size_t i = 0; i < worker_count; i++)
     {
       struct fake_worker *w = &workers[i];
@@ -295,7 +295,7 @@
   for (int64_t end = now_ms + ms; now_ms < end;)
     {
       now_ms += STEP_MS;
-      scheduler_permit (sched, now_ms + 3000);
+      scheduler_extend_permit (sched, now_ms + 3000);
       scheduler_tick (sched, now_ms);
       drain_proposals ();
       scheduler_check (sched);
@@ -311,8 +311,8 @@
   run_for (1000);
   const struct cell_task *t = STAILQ_FIRST (&cell_find_job (&cell, job)->tasks);
   uint64_t epoch = t->epoch;
-  scheduler_lead (sched, now_ms, false);
-  scheduler_lead (sched, now_ms, true);
+  scheduler_set_leader (sched, now_ms, false);
+  scheduler_set_leader (sched, now_ms, true);
   /* The workers' leases still run after 6 s: the task keeps running where it is.  */
   run_silent (6000);
   assert_int_equal (t->state, CELL_RUNNING);
@@ -322,8 +322,8 @@
   assert_int_equal (t->epoch, epoch);
   assert_int_equal (t->state, CELL_RUNNING);
   /* No worker reports to the next leader: the task is lost after lease + margin, not before.  */
-  scheduler_lead (sched, now_ms, false);
-  scheduler_lead (sched, now_ms, true);
+  scheduler_set_leader (sched, now_ms, false);
+  scheduler_set_leader (sched, now_ms, true);
   run_silent (SCHEDULER_LEASE_MS + SCHEDULER_LEASE_MARGIN_MS);
   assert_int_equal (t->state, CELL_RUNNING);
   run_silent (1000);
@@ -338,7 +338,7 @@
   struct worker_answer a;
   struct status st;
   poll_worker (&workers[0]);
-  scheduler_confirm (sched, now_ms + 1000);
+  scheduler_confirm_leadership (sched, now_ms + 1000);
   assert_int_equal (scheduler_answer (sched, now_ms, workers[0].id, &a, &st), 0);
   workers[0].poll_out = false;
   assert_true (a.lease_ms > 0);
@@ -356,11 +356,11 @@
   workers[0].poll_out = false;
   assert_true (covered_lease () > 0);
   permit = false;
-  scheduler_lead (sched, now_ms, false);
-  scheduler_lead (sched, now_ms, true);
+  scheduler_set_leader (sched, now_ms, false);
+  scheduler_set_leader (sched, now_ms, true);
   workers[0].announced = false;
   assert_int_equal (covered_lease (), 0);
-  scheduler_permit (sched, now_ms + 3000);
+  scheduler_extend_permit (sched, now_ms + 3000);
   assert_true (covered_lease () > 0);
   close_cell ();
 }
@@ -399,8 +399,8 @@
   drain_proposals ();
   assert_int_equal (state_of (job), CELL_PLACED);
   now_ms += SCHEDULER_LEASE_MS + SCHEDULER_LEASE_MARGIN_MS + 1000;
-  scheduler_confirm (sched, now_ms + 1000);
-  scheduler_permit (sched, now_ms + 3000);
+  scheduler_confirm_leadership (sched, now_ms + 1000);
+  scheduler_extend_permit (sched, now_ms + 3000);
   scheduler_tick (sched, now_ms);
   struct scheduler_proposal p;
   assert_true (scheduler_next_proposal (sched, now_ms, &p));
@@ -607,7 +607,7 @@
   submit (CELL_BATCH, 8, 1000, "run=900000");
   run_for (2000);
   quota.max_millicores = 4000;
-  scheduler_plans (sched, now_ms);
+  scheduler_reload_quotas (sched, now_ms);
   run_for (5000);
   assert_int_equal (limits_set (), 8);
   struct scheduler_stats st;
@@ -646,9 +646,9 @@
   run_for (3000);
   struct scheduler_peer_cell peer
       = { .cell = 2, .free_millicores = 64000, .free_memory_mb = 64000 };
-  scheduler_peers (sched, &peer, 1);
+  scheduler_set_peer_cells (sched, &peer, 1);
   permit = false;
-  scheduler_data_centre (sched, now_ms, true);
+  scheduler_set_data_centre_out (sched, now_ms, true);
   run_for (5000);
   assert_int_equal (state_of (batch), CELL_OFFERED);
   assert_int_equal (state_of (urgent), CELL_RUNNING);
--- a/tests/test_scheduler_faults.c
+++ b/tests/test_scheduler_faults.c
@@ -345,8 +345,8 @@
   struct scheduler_proposal p;
   if (node == w->leader)
     w->confirmed_ms[node] = w->now_ms + 500;
-  scheduler_confirm (s, w->confirmed_ms[node]);
-  scheduler_permit (s, w->permit_ms);
+  scheduler_confirm_leadership (s, w->confirmed_ms[node]);
+  scheduler_extend_permit (s, w->permit_ms);
   scheduler_tick (s, w->now_ms);
   while (scheduler_next_proposal (s, w->now_ms, &p))
     propose (w, node, p.entry, p.id);
@@ -369,7 +369,7 @@
   while (w->applied[w->leader] < w->committed)
     apply_entry (w, w->leader, w->applied[w->leader]++);
   w->thinks_leader[w->leader] = true;
-  scheduler_lead (w->scheds[w->leader], w->now_ms, true);
+  scheduler_set_leader (w->scheds[w->leader], w->now_ms, true);
 }
 
 static void
@@ -379,7 +379,7 @@
   if (w->thinks_leader[other] && w->now_ms >= w->old_leader_until_ms)
     {
       w->thinks_leader[other] = false;
-      scheduler_lead (w->scheds[other], w->now_ms, false);
+      scheduler_set_leader (w->scheds[other], w->now_ms, false);
     }
   if (w->faults && rng_chance (&w->rng, 0.001))
     {
@@ -503,7 +503,7 @@
       struct scheduler_config config = { .cell = &w->cells[n], .seed = seed + (uint64_t)n };
       w->scheds[n] = scheduler_new (&config);
     }
-  scheduler_lead (w->scheds[0], w->now_ms, true);
+  scheduler_set_leader (w->scheds[0], w->now_ms, true);
   w->thinks_leader[0] = true;
   for (size_t i = 0; i < WORKERS; i++)
     {
