--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -11,8 +11,8 @@
 #include <stddef.h>
 #include <stdint.h>
 
-#include "task_queue.h"
 #include "rng.h"
+#include "task_queue.h"
 
 #define PLACEMENT_SAMPLE_SIZE 64
 #define PLACEMENT_NONE SIZE_MAX
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -22,7 +22,7 @@
 bool
 sched_may_start (const struct scheduler *s)
 {
-  return s->leading && !s->out && s->permit_until_ms > s->now_ms;
+  return s->leading && !s->data_centre_out && s->permit_until_ms > s->now_ms;
 }
 
 void
@@ -372,7 +372,7 @@
 scheduler_set_data_centre_out (struct scheduler *s, int64_t now_ms, bool out)
 {
   s->now_ms = now_ms;
-  s->out = out;
+  s->data_centre_out = out;
   s->round_needed = true;
 }
 
@@ -417,7 +417,7 @@
       s->decay_ms = s->now_ms;
       interference_decay (s->model, DECAY_FACTOR);
     }
-  if (s->out)
+  if (s->data_centre_out)
     sched_guard_drain (s);
   if (s->outbox_count - s->outbox_done < MAX_OUTBOX_COMMANDS)
     sched_place_round (s);
--- a/src/scheduler/scheduler_answer.c
+++ b/src/scheduler/scheduler_answer.c
@@ -52,7 +52,7 @@
 }
 
 static bool
-due (struct scheduler *s, struct sched_worker *w, int64_t *sent_ms)
+is_due (struct scheduler *s, struct sched_worker *w, int64_t *sent_ms)
 {
   w->retry_at_ms = s->now_ms + RETRY_MS;
   if (*sent_ms != 0 && s->now_ms - *sent_ms < RETRY_MS)
@@ -70,7 +70,7 @@
   /* A stop or loss of this placement may already be in the log.  */
   if (st->in_flight)
     return;
-  if (!due (s, w, &st->start_sent_ms))
+  if (!is_due (s, w, &st->start_sent_ms))
     return;
   struct worker_command *c = add_command (s, WORKER_START, t->id, t->epoch);
   c->valid_ms = (uint32_t)((s->now_ms - w->handled_ms) + (s->permit_until_ms - s->now_ms));
@@ -101,7 +101,7 @@
 static void
 answer_stop (struct scheduler *s, struct sched_worker *w, struct sched_task *st)
 {
-  if (!due (s, w, &st->stop_sent_ms))
+  if (!is_due (s, w, &st->stop_sent_ms))
     return;
   struct worker_command *c = add_command (s, WORKER_STOP, st->t->id, st->t->epoch);
   c->grace_ms = stop_grace (st->t);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -5,9 +5,9 @@
 
 #include "eviction.h"
 #include "interference.h"
-#include "task_queue.h"
 #include "placement.h"
 #include "scheduler.h"
+#include "task_queue.h"
 #include "worker_health.h"
 
 #define SCHED_MAX_RACKS 4096
@@ -122,7 +122,7 @@
   double millicores; /* expected use */
 };
 
-struct sched_recent
+struct sched_recent_run
 {
   int class_id;
   double millicores;
@@ -156,7 +156,7 @@
   size_t class_count;
   struct sched_mix_entry services[SCHED_MIX_SIZE];
   size_t service_count;
-  struct sched_recent recent[SCHED_RECENT_RUNS];
+  struct sched_recent_run recent[SCHED_RECENT_RUNS];
   size_t recent_next;
   double used_millicores;
   int64_t action_at_ms; /* last throttle or eviction because of slowdown */
@@ -204,7 +204,7 @@
   int64_t confirmed_until_ms;
   int64_t permit_until_ms;
   bool permit_lapsed; /* a tick found the permit expired */
-  bool out;           /* the data centre is out of service */
+  bool data_centre_out;
   struct scheduler_peer_cell *peers;
   size_t peer_count;
   struct resource_amount total;   /* of the workers that are alive */
--- a/src/scheduler/scheduler_learn.c
+++ b/src/scheduler/scheduler_learn.c
@@ -160,7 +160,7 @@
   }
   for (size_t i = 0; i < SCHED_RECENT_RUNS && count < MAX_MIX; i++)
     {
-      const struct sched_recent *r = &w->recent[i];
+      const struct sched_recent_run *r = &w->recent[i];
       if (r->from_ms == 0 || r->from_ms > at_ms || r->to_ms <= at_ms)
         continue;
       mix[count].class_id = r->class_id;
@@ -278,13 +278,13 @@
   for (int i = 0; i < CELL_FAILED_WORKERS; i++)
     if (t->failed_on[i][0] && healthy_worker (s, t->failed_on[i]))
       workers++;
-  uint32_t enough = WORKER_HEALTH_JOB_FAILED_WORKERS;
-  if (s->worker_count < enough)
-    enough = (uint32_t)s->worker_count;
-  bool often = t->failures >= (st->cls->urgent ? URGENT_MAX_CRASHES : BATCH_MAX_CRASHES);
-  if (workers < enough && !(often && workers > 0))
+  uint32_t required_workers = WORKER_HEALTH_JOB_FAILED_WORKERS;
+  if (s->worker_count < required_workers)
+    required_workers = (uint32_t)s->worker_count;
+  bool crashed_often = t->failures >= (st->cls->urgent ? URGENT_MAX_CRASHES : BATCH_MAX_CRASHES);
+  if (workers < required_workers && !(crashed_often && workers > 0))
     return;
-  if (st->cls->urgent && !often)
+  if (st->cls->urgent && !crashed_often)
     return;
   fail_job (s, st, workers);
 }
@@ -295,9 +295,9 @@
   struct sched_worker *w = st->worker;
   if (w && !sched_has_policy (s, SCHEDULER_NO_QUARANTINE))
     {
-      bool room = (double)s->quarantined + 1
-                  <= WORKER_HEALTH_MAX_QUARANTINED_SHARE * (double)s->worker_count + 1;
-      if (worker_health_failed (&w->health, &st->cls->health, s->now_ms, room))
+      bool may_quarantine = (double)s->quarantined + 1
+                            <= WORKER_HEALTH_MAX_QUARANTINED_SHARE * (double)s->worker_count + 1;
+      if (worker_health_failed (&w->health, &st->cls->health, s->now_ms, may_quarantine))
         {
           s->quarantined++;
           s->stats.quarantines++;
@@ -321,7 +321,7 @@
     }
   if (st->cls->urgent || st->run_from_ms == 0)
     return;
-  struct sched_recent *r = &w->recent[w->recent_next++ % SCHED_RECENT_RUNS];
+  struct sched_recent_run *r = &w->recent[w->recent_next++ % SCHED_RECENT_RUNS];
   r->class_id = st->cls->id;
   r->millicores = st->used_millicores ? st->used_millicores : st->mix_use;
   r->from_ms = st->run_from_ms;
--- a/src/scheduler/scheduler_place.c
+++ b/src/scheduler/scheduler_place.c
@@ -43,7 +43,7 @@
   size_t failed_count;
 };
 
-struct choice
+struct placement_context
 {
   struct scheduler *s;
   struct sched_task *st;
@@ -52,7 +52,7 @@
 static double
 interference_at (void *ctx, size_t row)
 {
-  const struct choice *c = ctx;
+  const struct placement_context *c = ctx;
   const struct sched_worker *w = c->s->workers[row];
   if (sched_is_urgent (c->st))
     return sched_urgent_interference (c->s, w, c->st)
@@ -63,7 +63,7 @@
 static bool
 avoid_at (void *ctx, size_t row)
 {
-  const struct choice *c = ctx;
+  const struct placement_context *c = ctx;
   const struct cell_task *t = c->st->t;
   const struct sched_worker *w = c->s->workers[row];
   if (w->health.quarantined && sched_is_urgent (c->st))
@@ -98,7 +98,7 @@
 }
 
 static struct placement_request
-request_for (struct choice *c, const struct resource_amount *need)
+request_for (struct placement_context *c, const struct resource_amount *need)
 {
   struct scheduler *s = c->s;
   struct placement_request q = {
@@ -307,7 +307,7 @@
 {
   if (!may_reserve (s, st))
     return false;
-  struct choice c = { s, st };
+  struct placement_context c = { s, st };
   struct sched_worker *best = NULL;
   for (size_t i = 0; i < s->worker_count; i++)
     {
@@ -367,7 +367,7 @@
 try_place (struct round *r, struct sched_task *st)
 {
   struct scheduler *s = r->s;
-  struct choice c = { s, st };
+  struct placement_context c = { s, st };
   struct resource_amount need = sched_need (s, st);
   if (known_not_to_fit (r, st, &need) || takes_headroom (r, st, &need))
     return reserve_worker (s, st, &need);
@@ -467,7 +467,7 @@
 }
 
 static void
-serve_class (struct round *r, struct sched_customer *c, struct sched_class *cls)
+place_from_class (struct round *r, struct sched_customer *c, struct sched_class *cls)
 {
   struct task_queue_item *i = task_queue_pop (&cls->queue);
   struct sched_task *st = i->owner;
@@ -491,7 +491,7 @@
     cls->skipped = 0;
   }
   while (r.placed < MAX_PLACED && (c = next_customer (&r, &cls)))
-    serve_class (&r, c, cls);
+    place_from_class (&r, c, cls);
   for (size_t i = 0; i < r.skipped; i++)
     {
       struct sched_task *st = s->skipped[i]->owner;
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -95,7 +95,7 @@
       return true;
     }
   bool live = t->state == CELL_PENDING || t->state == CELL_PLACED || t->state == CELL_RUNNING;
-  if (!s->out || !live || t->job->spec.kind != CELL_URGENT)
+  if (!s->data_centre_out || !live || t->job->spec.kind != CELL_URGENT)
     return false;
   const struct scheduler_peer_cell *p = peer_with_room (s, &t->job->spec.size);
   if (!p)
