--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -534,7 +534,7 @@
   request_permit (s, now_ms);
   update_start_permit (s, now_ms);
   scheduler_set_peer_cells (s->scheduler, cell_transfers_cells (s->transfers),
-                   cell_transfers_cell_count (s->transfers));
+                            cell_transfers_cell_count (s->transfers));
   scheduler_tick (s->scheduler, now_ms);
   flush_scheduler (s);
   flush_moves (s, now_ms);
