--- a/tests/proxy_fixture.h
+++ b/tests/proxy_fixture.h
@@ -109,7 +109,7 @@
   struct router router;
   struct limit *limit;
   struct intent_store *intents;
-  struct delayed_store slow;
+  struct delayed_store delayed;
   struct runner_api api;
   struct proxy *proxy;
   struct http_server *admin;
@@ -146,7 +146,7 @@
                      "tries", (json_int_t)s.tries, "open", (int)s.open, "queued", (int)s.queued,
                      "connections", (int)s.connections, "live",
                      (int)router_live (&e->router, "echo", clock_now_ms (clock_real ())), "broken",
-                     (json_int_t)s.broken, "begun", e->slow.begun));
+                     (json_int_t)s.broken, "begun", e->delayed.begun));
     }
 }
 
@@ -198,13 +198,13 @@
   router_init (&e.router, &routing, e.table, now);
   e.limit = limit_open (&source, 1, now);
   e.intents = intent_memory_open ();
-  e.slow = (struct delayed_store){ { &delayed_ops }, e.intents, e.loop, 0 };
+  e.delayed = (struct delayed_store){ { &delayed_ops }, e.intents, e.loop, 0 };
   struct proxy_config config = { .address = "127.0.0.1:0",
                                  .clock = clock_real (),
                                  .table = e.table,
                                  .router = &e.router,
                                  .limit = e.limit,
-                                 .intents = &e.slow.store,
+                                 .intents = &e.delayed.store,
                                  .seed = 1,
                                  .retry_tokens = 10.0 };
   e.proxy = proxy_open (e.loop, &config, &st);
--- a/tests/test_limit.c
+++ b/tests/test_limit.c
@@ -110,7 +110,7 @@
 }
 
 static bool
-lists_unknown (void *arg)
+plans_not_loaded (void *arg)
 {
   (void)arg;
   return false;
@@ -125,11 +125,11 @@
   return false;
 }
 
-/* Guards against reporting customers as unknown before the lists have been loaded.  */
+/* Guards against reporting customers as unknown before the plans have been loaded.  */
 static void
-test_lists_not_loaded (void **state)
+test_plans_not_loaded (void **state)
 {
-  struct limit_source source = { .lookup = lookup_none, .known = lists_unknown };
+  struct limit_source source = { .lookup = lookup_none, .known = plans_not_loaded };
   struct limit *l = limit_open (&source, 1, 0);
   struct status st;
   (void)state;
@@ -292,7 +292,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_plan_without_requests),
-    cmocka_unit_test (test_lists_not_loaded),
+    cmocka_unit_test (test_plans_not_loaded),
     cmocka_unit_test (test_concurrency_over_entries),
     cmocka_unit_test (test_one_entry_borrows_and_returns),
     cmocka_unit_test (test_partitioned_entries_keep_equal_share),
--- a/tests/test_proxy.c
+++ b/tests/test_proxy.c
@@ -75,7 +75,7 @@
 }
 
 static void
-test_forwards_whole_answers (void **state)
+test_forwards_complete_answer (void **state)
 {
   (void)state;
   static const long sizes[] = { 0, 1, 64, 70000, 3000000 };
@@ -319,7 +319,8 @@
   free_reply (&r);
 }
 
-/* The same while the rest of a long body is outstanding, which delays the answer.  */
+/* The deadline passes while the intent is being recorded and the rest of a long body is
+   outstanding: the answer waits for the body and the request must not run.  */
 static void
 test_late_intent_with_a_long_body (void **state)
 {
@@ -481,7 +482,7 @@
   free_reply (&r);
 }
 
-/* A refusal must keep the caller's connection open, also under overload.  */
+/* A refusal keeps the connection: under overload, new ones would cost more than the refusals.  */
 static void
 test_refusal_keeps_the_connection (void **state)
 {
@@ -624,7 +625,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_forwards_whole_answers),
+    cmocka_unit_test (test_forwards_complete_answer),
     cmocka_unit_test (test_streams_uploads_both_ways),
     cmocka_unit_test (test_caller_disconnect_frees_the_runner),
     cmocka_unit_test (test_broken_answers_never_look_complete),
--- a/tests/test_router.c
+++ b/tests/test_router.c
@@ -133,9 +133,9 @@
   open_fixture (&g, 8);
   announce (&g, 1, "dc1", NOW);
   runner_table_report (runner (&g, 1), 8, NOW);      /* full with requests of other entries */
-  assert_ptr_equal (pick (&g, NOW), runner (&g, 1)); /* within our equal share of the slots */
+  assert_ptr_equal (pick (&g, NOW), runner (&g, 1)); /* within this entry's equal share */
   assert_null (pick (&g, NOW));
-  runner_table_report (runner (&g, 1), 1, NOW); /* only our own request */
+  runner_table_report (runner (&g, 1), 1, NOW); /* only this entry's request */
   for (int i = 0; i < 7; i++)
     assert_ptr_equal (pick (&g, NOW), runner (&g, 1));
   assert_null (pick (&g, NOW));
