--- a/src/request/admission.h
+++ b/src/request/admission.h
@@ -3,8 +3,8 @@
    Urgent requests leave before batch ones, except that one batch request goes after
    ADMISSION_MAX_URGENT_IN_ROW urgent ones, so that batch is never starved.  Within a class the
    customer with the fewest requests in service, relative to its share, goes first; within a
-   customer, the oldest.  A request whose deadline cannot be met is rejected on arrival or removed
-   while it waits, before any runner works on it.  A full queue rejects a new request; a new urgent
+   customer, the oldest.  A request whose deadline cannot be met is refused on arrival or removed
+   while it waits, before any runner works on it.  A full queue refuses a new request; a new urgent
    request evicts the newest batch request instead.
 
    The caller embeds struct admission_item in its own request.  Does no I/O and reads no clock.
@@ -50,7 +50,7 @@
 struct admission *admission_open (const struct admission_config *config); /* An empty queue. */
 void admission_close (struct admission *a); /* Frees A; queued items stay with their owner. */
 int admission_check (const struct admission *a, bool urgent, int64_t deadline_ms, int64_t now_ms,
-                     struct status *st); /* -1 when a push would be rejected now. */
+                     struct status *st); /* -1 when a push would be refused now. */
 int admission_push (struct admission *a, struct admission_item *item, const char *customer,
                     bool urgent, int64_t deadline_ms, int64_t now_ms,
                     struct admission_item **evicted,
@@ -63,12 +63,12 @@
 struct admission_item *
 admission_pop_any (struct admission *a); /* Removes one regardless of order, or NULL. */
 void admission_remove (struct admission *a,
-                       struct admission_item *item); /* The caller disconnected. */
+                       struct admission_item *item); /* Its request ends while queued. */
 void admission_served (struct admission *a, struct admission_item *item, bool answered,
                        double service_ms, int64_t now_ms); /* A popped request has ended. */
-unsigned admission_queued (const struct admission *a);     /* Requests waiting. */
+unsigned admission_queued (const struct admission *a);
 int64_t admission_wait_ms (const struct admission *a, bool urgent,
-                           int64_t now_ms);             /* Expected wait of a new request. */
-unsigned admission_serving (const struct admission *a); /* Requests in service. */
+                           int64_t now_ms); /* Expected wait of a new request. */
+unsigned admission_serving (const struct admission *a);
 
 #endif
--- a/src/request/intent_log.c
+++ b/src/request/intent_log.c
@@ -25,8 +25,8 @@
   uint64_t number;
   unsigned proposals; /* of the current begin or finish */
   struct buffer entry;
-  intent_begin_fn *begun;
-  intent_finish_fn *finished;
+  intent_begin_fn *begin_done; /* NULL after the begin has ended */
+  intent_finish_fn *finish_done;
   void *arg;
   int64_t begun_ms; /* when begin was first proposed */
   int64_t retry_ms; /* next proposal while waiting */
@@ -93,7 +93,7 @@
   free (a);
 }
 
-/* The attempt that got INTENT_NEW for this key, without attempts whose begin is pending.  */
+/* The attempt for this key that got INTENT_NEW; attempts whose begin is pending are skipped.  */
 static struct intent_attempt *
 find_attempt (struct intent_log *l, const char *customer, const char *key)
 {
@@ -101,7 +101,7 @@
   for (; n; n = cell_map_next (n))
     {
       struct intent_attempt *a = CELL_CONTAINER (n, struct intent_attempt, node);
-      if (!a->begun && strcmp (a->customer, customer) == 0 && strcmp (a->key, key) == 0)
+      if (!a->begin_done && strcmp (a->customer, customer) == 0 && strcmp (a->key, key) == 0)
         return a;
     }
   return NULL;
@@ -185,14 +185,14 @@
   enum intent_state state = begun_state (r, &outcome);
   if (state == INTENT_IN_PROGRESS && wait_for_earlier_attempt (a))
     return;
-  intent_begin_fn *begun = a->begun;
+  intent_begin_fn *begin_done = a->begin_done;
   void *arg = a->arg;
-  a->begun = NULL;
+  a->begin_done = NULL;
   if (state == INTENT_UNAVAILABLE)
     counter_add (&unavailable, 1);
   if (state != INTENT_NEW)
     free_attempt (a);
-  begun (arg, state, state == INTENT_DONE ? &outcome : NULL);
+  begin_done (arg, state, state == INTENT_DONE ? &outcome : NULL);
 }
 
 /* When the outcome stays unknown, the intent may be recorded as in progress.  INTENT_UNAVAILABLE is
@@ -224,7 +224,7 @@
   c.cell_command_u.intent_begin.request_hash = key->fingerprint;
   c.cell_command_u.intent_begin.attempt = a->number;
   set_command (a, &c);
-  a->begun = done;
+  a->begin_done = done;
   a->arg = arg;
   a->begun_ms = a->log->now_ms;
   propose (a, on_begun);
@@ -243,11 +243,11 @@
       propose (a, on_finished);
       return;
     }
-  intent_finish_fn *finished = a->finished;
+  intent_finish_fn *finish_done = a->finish_done;
   void *finished_arg = a->arg;
   bool ok = status_ok (st);
   free_attempt (a);
-  finished (finished_arg, ok ? 0 : -1);
+  finish_done (finished_arg, ok ? 0 : -1);
 }
 
 static void
@@ -277,7 +277,7 @@
   c.cell_command_u.intent_finish.answer.answer_len = (u_int)answer.len;
   set_command (a, &c);
   buffer_close (&answer);
-  a->finished = done;
+  a->finish_done = done;
   a->arg = arg;
   propose (a, on_finished);
 }
--- a/src/request/intent_log.h
+++ b/src/request/intent_log.h
@@ -44,7 +44,7 @@
                       const struct registry *registry,
                       struct rng *rng); /* RNG generates attempt numbers. */
 void intent_log_tick (struct intent_log *l,
-                      int64_t now_ms);        /* Proposes waiting begins that are due. */
-void intent_log_close (struct intent_log *l); /* Frees all attempts. */
+                      int64_t now_ms); /* Proposes waiting begins that are due. */
+void intent_log_close (struct intent_log *l);
 
 #endif
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -10,8 +10,8 @@
 
 #define NAME_BYTES (PEER_NAME_BYTES + 1)
 #define BUCKETS 256
-#define WANT_MORE_PERCENT 80 /* share in use above which an entry asks for a loan */
-#define WANT_MORE_MS 1000    /* time after a refusal in which an entry asks for a loan */
+#define LOAN_REQUEST_PERCENT 80 /* of the equal share in use, at which an entry asks for a loan */
+#define LOAN_REQUEST_MS 1000    /* after a refusal, during which it asks too */
 #define RATE_WINDOW_MS 1000
 #define HEADROOM_FACTOR 1.25 /* multiple of the current use that is not lent */
 
@@ -339,13 +339,13 @@
 }
 
 static bool
-wants_more (const struct limit *l, const struct customer *c, enum kind k, int64_t now_ms)
+needs_loan (const struct limit *l, const struct customer *c, enum kind k, int64_t now_ms)
 {
   if (total_of (c, k) == LIMIT_NONE)
     return false;
-  if (c->refused_ms[k] > 0 && now_ms - c->refused_ms[k] < WANT_MORE_MS)
+  if (c->refused_ms[k] > 0 && now_ms - c->refused_ms[k] < LOAN_REQUEST_MS)
     return true;
-  return used (c, k, now_ms) * 100.0 >= (double)equal_share (l, c, k) * WANT_MORE_PERCENT;
+  return used (c, k, now_ms) * 100.0 >= (double)equal_share (l, c, k) * LOAN_REQUEST_PERCENT;
 }
 
 static unsigned
@@ -359,8 +359,9 @@
   return n;
 }
 
-/* What can be lent to each entry that asks: the share less the reserve or the current use and a
-   quarter more, whichever is larger, and less what is lent to others.  */
+/* What can be lent to TO.  The share less the larger of the reserve and the need, which is one more
+   than HEADROOM_FACTOR times the current use, is divided among the entries that ask, as far as it
+   is not lent to others.  */
 static unsigned
 lendable (const struct limit *l, const struct customer *c, const struct peer_loans *to, enum kind k,
           int64_t now_ms)
@@ -372,7 +373,7 @@
   reserve = need > reserve ? need : reserve;
   if (total_of (c, k) == LIMIT_NONE || total_of (c, k) < l->entries || borrowers == 0
       || to->wanted_ms[k] == 0 || now_ms - to->wanted_ms[k] >= LIMIT_LOAN_MS || share <= reserve
-      || wants_more (l, c, k, now_ms))
+      || needs_loan (l, c, k, now_ms))
     return 0;
   unsigned others = lent_to_all (c, k, now_ms) - lent_now (&to->lent[k], now_ms);
   unsigned free_share = share - (unsigned)reserve;
@@ -432,8 +433,8 @@
   struct peer_loans *a = find_peer_loans (c, peer);
   out->lent = lendable (l, c, a, IN_FLIGHT, now_ms);
   out->lent_rate = lendable (l, c, a, RATE, now_ms);
-  out->wants = wants_more (l, c, IN_FLIGHT, now_ms);
-  out->wants_rate = wants_more (l, c, RATE, now_ms);
+  out->wants = needs_loan (l, c, IN_FLIGHT, now_ms);
+  out->wants_rate = needs_loan (l, c, RATE, now_ms);
   record_loan (&a->lent[IN_FLIGHT], out->lent, now_ms);
   record_loan (&a->lent[RATE], out->lent_rate, now_ms);
   return out->lent > 0 || out->lent_rate > 0 || out->wants || out->wants_rate;
@@ -457,8 +458,9 @@
   d->usage.usage_len = n;
 }
 
+/* A digest replaces the peer's loans and loan requests; loans to the peer keep their expiry.  */
 static void
-reset_loans (struct limit *l, struct peer *peer)
+clear_peer_report (struct limit *l, struct peer *peer)
 {
   struct customer *c;
   struct peer_loans *a;
@@ -490,7 +492,7 @@
                      int64_t now_ms)
 {
   struct peer *peer = find_peer (l, entry);
-  reset_loans (l, peer);
+  clear_peer_report (l, peer);
   for (unsigned i = 0; i < d->usage.usage_len; i++)
     {
       const customer_usage *u = &d->usage.usage_val[i];
--- a/src/request/limit.h
+++ b/src/request/limit.h
@@ -2,9 +2,9 @@
 
    A limit applies to the sum over all entry VMs.  Each entry has an equal share of it, lends what
    it does not need to entries that ask for more, and does not use what it lent until the loan has
-   expired.  Loans are sent in the digests, last LIMIT_LOAN_MS and are renewed every 500 ms.  The
-   borrower's loan starts at the clock value that the digest echoes, the lender's when the digest
-   is sent, so a loan expires at the borrower first.
+   expired.  Loans are sent in the digests, last LIMIT_LOAN_MS and are renewed every 500 ms.  For
+   the borrower a loan starts at its own earlier clock value, which the digest echoes, for the
+   lender when it sends the digest, so it expires at the borrower first.
 
    Error bounds.  The sum of the allowances never exceeds the limit, rounded up to one per entry,
    under any partition, delay or loss; except that an entry that restarts loses its record of loans,
@@ -29,7 +29,7 @@
 #define LIMIT_BURST_S 1.0
 #define LIMIT_NONE 0 /* in struct limit_plan: no limit */
 
-/* One customer's limits, summed over all entries.  */
+/* One customer's limits; each holds for all entry VMs together.  */
 struct limit_plan
 {
   uint32_t concurrency; /* requests in flight, LIMIT_NONE for no limit */
@@ -51,10 +51,10 @@
 
 struct limit *limit_open (const struct limit_source *source, unsigned entries,
                           int64_t now_ms); /* ENTRIES entry VMs share each limit. */
-void limit_close (struct limit *l);        /* Frees everything. */
+void limit_close (struct limit *l);
 void limit_set_entries (struct limit *l, unsigned entries); /* The number of entry VMs changed. */
 int limit_enter (struct limit *l, const char *customer, int64_t now_ms,
-                 struct status *st); /* Admits a request; -1 UNKNOWN_CUSTOMER, LIMIT_EXCEEDED. */
+                 struct status *st); /* Admits; -1: UNKNOWN_CUSTOMER, LIMIT_EXCEEDED, NO_QUORUM. */
 void limit_leave (struct limit *l, const char *customer); /* An admitted request has ended. */
 int64_t limit_retry_after_ms (const struct limit *l, const char *customer,
                               int64_t now_ms); /* Time until a refused request may succeed. */
--- a/src/request/retry.h
+++ b/src/request/retry.h
@@ -51,7 +51,7 @@
   bool unlimited; /* baseline for benchmarks: naive retry */
 };
 
-/* Histogram of recent latencies: bucket bounds grow by 1.2, counts are halved every 10 s.  */
+/* Histogram of latencies: each bound is 1.2 times the one before, counts halve every 10 s.  */
 struct retry_latency
 {
   double buckets[RETRY_BUCKETS];
@@ -75,6 +75,7 @@
 void retry_latency_add_timeout (struct retry_latency *l, int64_t waited_ms,
                                 int64_t now_ms);              /* A try timed out after WAITED_MS. */
 int64_t retry_try_timeout_ms (const struct retry_latency *l); /* For a try that may be repeated. */
-int64_t retry_hedge_delay_ms (const struct retry_latency *l); /* 0 with too few samples. */
+int64_t
+retry_hedge_delay_ms (const struct retry_latency *l); /* 0 with too few samples: do not hedge. */
 
 #endif
