--- a/src/request/router.c
+++ b/src/request/router.c
@@ -5,19 +5,19 @@
 
 #include "buffer.h"
 
-#define LATENCY_WEIGHT 0.2     /* of a new sample in the moving averages */
+#define SAMPLE_WEIGHT 0.2      /* of a new sample in the moving averages */
 #define FAILURE_RATE_LIMIT 0.5 /* failure rate above which a runner is ejected */
 #define FAILURE_SAMPLES 10     /* minimum samples before the rate is used */
-#define LIMIT_DECREASE 0.7     /* factor on a failure or refusal */
+#define LIMIT_DECREASE 0.7     /* factor on a refusal, a timeout or an ejection over the maximum */
 #define SLOW_FACTOR 4.0        /* answers above this multiple of the median are late */
 #define SLOW_FLOOR_MS 5.0      /* answers within this of the median are never late */
 #define SLOW_RATE 0.5          /* rate of late answers above which a runner is slow */
 #define SLOW_SAMPLES 5
 #define MEDIAN_STEP 0.02        /* relative change of the median per answer */
 #define PROBE_INTERVAL_MS 1000  /* between requests to a slow runner */
-#define REPORT_MAX_AGE_MS 1500  /* after this the load of other entries is assumed equal */
+#define REPORT_MAX_AGE_MS 1500  /* after this, each other entry counts with this entry's load */
 #define INDEX_REFRESH_MS 200    /* expired runners leave the index within this time */
-#define EJECTION_RESET_MS 30000 /* after the last return; resets the ejection time */
+#define EJECTION_RESET_MS 30000 /* time since the return that resets a runner's ejection length */
 
 /* The runners of one service, rebuilt when the table changes.  */
 struct router_service
@@ -430,7 +430,7 @@
 {
   struct runner_load *load = &runner->load;
   load->failures_in_row++;
-  load->failure_rate += LATENCY_WEIGHT * (1.0 - load->failure_rate);
+  load->failure_rate += SAMPLE_WEIGHT * (1.0 - load->failure_rate);
   load->samples++;
   if (load->failures_in_row >= ROUTER_EJECT_IN_ROW
       || (load->samples >= FAILURE_SAMPLES && load->failure_rate > FAILURE_RATE_LIMIT))
@@ -442,7 +442,7 @@
 {
   struct runner_load *load = &runner->load;
   load->failures_in_row = 0;
-  load->failure_rate -= LATENCY_WEIGHT * load->failure_rate;
+  load->failure_rate -= SAMPLE_WEIGHT * load->failure_rate;
   grow_limit (r, runner, now_ms);
 }
 
@@ -473,7 +473,7 @@
     return;
   if (complete)
     update_median (median, latency_ms);
-  load->late_rate += LATENCY_WEIGHT * ((late ? 1.0 : 0.0) - load->late_rate);
+  load->late_rate += SAMPLE_WEIGHT * ((late ? 1.0 : 0.0) - load->late_rate);
   load->samples++;
   load->slow = load->samples >= SLOW_SAMPLES && load->late_rate > SLOW_RATE;
 }
--- a/src/request/router.h
+++ b/src/request/router.h
@@ -8,7 +8,7 @@
    request has to wait in the admission queue.
 
    The adaptive limit decreases when a runner refuses requests or times out, which indicates
-   overload; other failures only count towards ejection.
+   overload, or instead of an ejection over the maximum; other failures count towards ejection.
 
    Failing runners are ejected for a time that doubles, at most ROUTER_MAX_EJECTED_PERCENT of a
    service at once; a returning runner starts with one request at a time and ramps up over
@@ -33,7 +33,7 @@
 #define ROUTER_SLOW_START_MS 5000
 #define ROUTER_SHARE_GROWTH_DELAY_MS 5000
 #define ROUTER_MAX_NEAR 16
-#define ROUTER_FAR_BYTES_PER_S (30 * 1000 * 1000 / 8 / 2) /* half the link, for requests */
+#define ROUTER_FAR_BYTES_PER_S (30 * 1000 * 1000 / 8 / 2) /* requests: half of a 30 Mbit/s link */
 
 enum router_policy
 {
@@ -79,9 +79,9 @@
   struct rng rng;
   struct runner_table *table;
   uint64_t turn;    /* round-robin position */
-  double far_bytes; /* tokens of the byte budget, may be negative */
+  double far_bytes; /* bytes left in the budget for far runners, may be negative */
   int64_t far_updated_ms;
-  unsigned previous_entries; /* upper bound of the shares until share_growth_ms */
+  unsigned previous_entries; /* before the change; caps each share until share_growth_ms */
   unsigned previous_rank;
   int64_t share_growth_ms;
   struct router_service *services;
--- a/src/request/runner_digest.c
+++ b/src/request/runner_digest.c
@@ -105,7 +105,8 @@
   return n;
 }
 
-/* Called for live runners first, so that a full digest over the maximum omits departures.  */
+/* Called for live runners first: a full digest over PEER_MAX_RUNNERS leaves out departures, those
+   whose records were added last.  */
 static void
 fill_entries (const struct runner_table *t, struct runner_digest *out, bool departing, unsigned max)
 {
@@ -178,7 +179,7 @@
   if (!r || info->incarnation < r->info.incarnation)
     return;
   if (info->incarnation > r->info.incarnation)
-    runner_table_restart (t, r, info);
+    runner_table_replace_incarnation (t, r, info);
   runner_table_set_departing (t, r, now_ms);
 }
 
@@ -208,7 +209,7 @@
   if (r->departing && info.incarnation == r->info.incarnation)
     return;
   if (info.incarnation > r->info.incarnation || !r->info.service[0])
-    runner_table_restart (t, r, &info);
+    runner_table_replace_incarnation (t, r, &info);
   if (!r->announced_ms || now_ms - r->announced_ms >= RUNNER_LIFETIME_MS)
     {
       r->info = info;
--- a/src/request/runner_table.c
+++ b/src/request/runner_table.c
@@ -98,7 +98,8 @@
 
 /* The router's statistics belong to one incarnation, except for requests still in flight.  */
 void
-runner_table_restart (struct runner_table *t, struct runner *r, const struct runner_info *info)
+runner_table_replace_incarnation (struct runner_table *t, struct runner *r,
+                                  const struct runner_info *info)
 {
   unsigned in_flight = r->load.in_flight;
   r->info = *info;
@@ -165,7 +166,7 @@
          && strcmp (a->data_centre, b->data_centre) == 0;
 }
 
-/* Digests include a change of in_flight only from a quarter of the slots on.  */
+/* A change of in_flight goes into the digests only when it is at least a quarter of the slots.  */
 static bool
 load_changed (const struct runner *r, uint32_t in_flight)
 {
@@ -230,7 +231,7 @@
   if (!runner_live (r, now_ms))
     t->generation++;
   if (fresh)
-    runner_table_restart (t, r, info);
+    runner_table_replace_incarnation (t, r, info);
   r->info = *info;
   r->announced_ms = now_ms;
   runner_table_report (r, info->in_flight, now_ms);
@@ -252,7 +253,7 @@
     {
       struct runner_info info = r->info;
       info.incarnation = incarnation;
-      runner_table_restart (t, r, &info);
+      runner_table_replace_incarnation (t, r, &info);
     }
   if (r->departing)
     return 0;
--- a/src/request/runner_table.h
+++ b/src/request/runner_table.h
@@ -63,15 +63,15 @@
   int64_t reported_ms;      /* when info.in_flight was received */
   unsigned local_at_report; /* in_flight of this entry at that time */
   double limit;             /* adaptive limit on in_flight */
-  double late_rate;         /* moving average of the share of late answers, 0 to 1 */
+  double late_rate;         /* moving average of answers far above the service's median, 0 to 1 */
   unsigned samples;         /* answers and failures counted in the averages */
   unsigned failures_in_row; /* consecutive failures */
   double failure_rate;      /* moving average of failures, 0 to 1 */
-  unsigned ejections;       /* recent ejections, doubles their duration */
+  unsigned ejections;       /* since the last reset; each doubles the length of the next */
   int64_t ejected_until_ms; /* 0 when it is not ejected */
   int64_t returned_ms;      /* when slow start began, 0 when it is over */
   int64_t last_probe_ms;    /* last probe of a slow runner */
-  bool slow;                /* most answers are late */
+  bool slow;                /* late_rate is over SLOW_RATE of router.c */
 };
 
 struct runner_lease; /* one peer that lists one runner */
@@ -100,7 +100,7 @@
 struct runner_table *runner_table_open (
     uint64_t incarnation,
     int64_t now_ms); /* Empty; INCARNATION of this entry, under 2^43, grows with every start. */
-void runner_table_close (struct runner_table *t); /* Frees everything. */
+void runner_table_close (struct runner_table *t);
 
 int runner_table_announce (struct runner_table *t, const struct runner_info *info, int64_t now_ms,
                            struct status *st); /* Renews a runner; -1 and STALE_INCARNATION. */
--- a/src/request/runner_table_internal.h
+++ b/src/request/runner_table_internal.h
@@ -23,9 +23,9 @@
   char entry[RUNNER_NAME_BYTES];
   uint64_t held_version;  /* last applied version of the peer's table */
   int64_t expires_ms;     /* of all its leases */
-  uint64_t acked_version; /* last version of our table that the peer acknowledged */
+  uint64_t acked_version; /* last version of this entry's table that the peer acknowledged */
   bool acked;             /* acked_version is known */
-  uint64_t echo;          /* "asked" of its last reply, 0 when unknown */
+  uint64_t echo;          /* clock value in its last reply, for the next digest; 0 when unknown */
   bool waiting;           /* a digest to it is awaiting its reply */
   bool send_now;          /* send the next digest without waiting for the interval */
   int64_t sent_ms;
@@ -49,8 +49,9 @@
 
 struct runner *runner_table_add (struct runner_table *t,
                                  const char *id); /* Finds or adds a record; NULL when full. */
-void runner_table_restart (struct runner_table *t, struct runner *r,
-                           const struct runner_info *info); /* Replaces R by a later incarnation. */
+void runner_table_replace_incarnation (
+    struct runner_table *t, struct runner *r,
+    const struct runner_info *info); /* R becomes the later incarnation INFO. */
 void runner_table_mark_changed (struct runner_table *t,
                                 struct runner *r); /* Adds R to the next deltas. */
 void runner_table_set_departing (struct runner_table *t, struct runner *r,
