--- a/src/request/proxy.c
+++ b/src/request/proxy.c
@@ -19,8 +19,8 @@
     = { .name = "sassafras_proxy_tries_total", .help = "Requests sent to runners." };
 static struct counter retries_total
     = { .name = "sassafras_proxy_retries_total", .help = "Tries after a failed one." };
-static struct counter hedges_total = { .name = "sassafras_proxy_hedges_total",
-                                       .help = "Second tries started while the first is slow." };
+static struct counter hedges_total
+    = { .name = "sassafras_proxy_hedges_total", .help = "Second tries beside a slow one." };
 static struct counter refused_total
     = { .name = "sassafras_proxy_refused_total", .help = "Requests answered as not run." };
 static struct counter broken_total
@@ -195,7 +195,7 @@
   proxy_schedule_dispatch (p);
 }
 
-/* Connections already in the listen backlog are still served during a drain.  */
+/* The kernel has accepted the connections in the backlog: a drain serves them as in flight.  */
 static void
 accept_backlog (struct proxy *p, MHD_socket listener)
 {
--- a/src/request/proxy_call.c
+++ b/src/request/proxy_call.c
@@ -86,7 +86,7 @@
   call_arm_timer (call);
   if (evicted)
     call_fail ((struct proxy_call *)(void *)((char *)evicted - offsetof (struct proxy_call, item)),
-               STATUS_OVERLOADED, "displaced from the queue by an urgent request");
+               STATUS_OVERLOADED, "an urgent request took the place in the queue");
   service_dispatch (call->service);
 }
 
@@ -152,7 +152,7 @@
 
 /* Whether an answer is discarded after its head because another try replaces it.  */
 static bool
-should_abandon (struct proxy_call *call, struct proxy_try *t)
+should_discard_head (struct proxy_call *call, struct proxy_try *t)
 {
   if (call->winner)
     return true;
@@ -181,8 +181,8 @@
       t->head.fault = "the end of the answer could not be recognized";
       return;
     }
-  t->abandoned = should_abandon (call, t);
-  if (t->abandoned)
+  t->head_discarded = should_discard_head (call, t);
+  if (t->head_discarded)
     return;
   call->winner = t;
   call->buffered
@@ -213,7 +213,7 @@
     return ROUTER_UNREACHABLE;
   if (t->head.complete && t->head.code == 503 && t->head.not_run)
     return ROUTER_REFUSED;
-  if (t->call->winner && t->call->winner != t && t->abandoned)
+  if (t->call->winner && t->call->winner != t && t->head_discarded)
     return ROUTER_ABANDONED;
   return result == CURLE_OK && complete && t->head.code < 500 ? ROUTER_OK : ROUTER_FAILED;
 }
@@ -267,7 +267,7 @@
     status_set (st, STATUS_NO_BACKEND, "the runner refused the request before it ran");
   else if (t->head.fault)
     status_set (st, STATUS_BACKEND_FAILED, "invalid answer: %s", t->head.fault);
-  else if (t->abandoned)
+  else if (t->head_discarded)
     status_set (st, STATUS_BACKEND_FAILED, "the runner answered %d", t->head.code);
   else if (result == CURLE_OK)
     status_set (st, STATUS_BACKEND_FAILED, "the answer is longer than announced");
@@ -367,7 +367,7 @@
   if (call->response)
     caller_resume (call);
   else
-    caller_reply_error (call, STATUS_TIMEOUT, RAN_UNKNOWN, 0, "the runner stopped sending");
+    caller_reply_error (call, STATUS_TIMEOUT, RAN_UNKNOWN, 0, "the runner stopped answering");
 }
 
 static bool
@@ -420,7 +420,7 @@
     if (call->tries[i])
       retry_latency_add_timeout (latency_of (call), now - call->tries[i]->started_ms, now);
   cancel_tries (call, NULL, ROUTER_TIMED_OUT);
-  status_set (&call->failure, STATUS_TIMEOUT, "the try timed out");
+  status_set (&call->failure, STATUS_TIMEOUT, "no answer in time");
   schedule_retry (call, RETRY_FAILED);
 }
 
@@ -501,10 +501,10 @@
   ev_timer_start (loop, &call->timer);
 }
 
-/* Cancels the request of a disconnected caller, unless it is unrepeatable and its intent is
-   recorded: then the answer is still awaited, so that a repeat gets it.  */
+/* Cancels what still runs, in case the caller disconnected, unless the request is unrepeatable and
+   its intent is recorded: then the answer is still awaited, so that a repeat gets it.  */
 void
-call_caller_disconnected (struct proxy_call *call)
+call_request_completed (struct proxy_call *call)
 {
   bool awaited = call->intent_open && tries_open (call) > 0;
   ev_io_stop (call->proxy->loop, &call->disconnect_watch);
--- a/src/request/proxy_caller.c
+++ b/src/request/proxy_caller.c
@@ -535,7 +535,7 @@
   call->caller = NULL;
   if (!call->parsed)
     call->stage = CALL_ENDED;
-  call_caller_disconnected (call);
+  call_request_completed (call);
 }
 
 static void
--- a/src/request/proxy_intent.c
+++ b/src/request/proxy_intent.c
@@ -32,7 +32,7 @@
   bool ran = o && o->result == INTENT_ANSWERED;
   caller_reply_error (call, STATUS_OUTCOME_UNKNOWN, ran ? RAN_YES : RAN_UNKNOWN, 0,
                       ran ? "the request ran; its answer was too large to store"
-                          : "the request was sent before without a complete answer");
+                          : "the request was sent before and no whole answer came");
 }
 
 static void
@@ -60,7 +60,7 @@
       answer_done (call, outcome);
       break;
     case INTENT_KEY_REUSED:
-      call_fail (call, STATUS_BAD_REQUEST, "the Idempotency-Key was used for a different request");
+      call_fail (call, STATUS_BAD_REQUEST, "the Idempotency-Key stands for a different request");
       break;
     case INTENT_UNAVAILABLE:
       /* This attempt was not sent, but an earlier one with the same key may have run.  */
@@ -76,7 +76,7 @@
   struct intent_store *store = call->proxy->config.intents;
   if (!store)
     {
-      call_fail (call, STATUS_NO_QUORUM, "no intent store is configured");
+      call_fail (call, STATUS_NO_QUORUM, "intents are not recorded here");
       return;
     }
   call->stage = CALL_INTENT;
--- a/src/request/proxy_internal.h
+++ b/src/request/proxy_internal.h
@@ -22,9 +22,9 @@
 
 #define PROXY_CALL_TRIES 2 /* concurrent tries: the first and its hedge */
 #define PROXY_MAX_SERVICES 1024
-#define PROXY_BUFFERED_MAX_BYTES 16384 /* answers up to this length are sent when complete */
+#define PROXY_BUFFERED_MAX_BYTES 16384 /* largest Content-Length sent only when complete */
 #define PROXY_SOCKET_HINTS 4096
-#define PROXY_MAX_FD 16384 /* limit of sockets whose received bytes are checked */
+#define PROXY_MAX_FD 16384 /* only sockets with a lower descriptor are checked for excess bytes */
 #define PROXY_DISCARD_BYTES (16 * 1024 * 1024) /* of an upload after its request has ended */
 
 enum call_stage
@@ -53,9 +53,9 @@
   CURL *easy;
   struct curl_slist *fields;
   struct head head;
-  bool sent;         /* a byte of the request may have reached the runner */
-  bool abandoned;    /* cancelled by the proxy, its answer is discarded */
-  bool stale_runner; /* the runner departed before the request was sent */
+  bool sent;           /* a byte of the request may have reached the runner */
+  bool head_discarded; /* aborted after the answer's head: another try replaces it */
+  bool stale_runner;   /* the runner departed before the request was sent */
   bool upload_paused;
   bool download_paused;
   size_t upload_pos;        /* bytes of the request body passed to libcurl */
@@ -63,7 +63,7 @@
   int opened_fd;            /* the socket opened for it, -1 when one is reused */
   int fd;                   /* its socket, -1 when unknown or closed */
   uint64_t received_before; /* bytes the socket had received before this request */
-  uint64_t received;        /* the same when the answer ended */
+  uint64_t received;        /* bytes the socket had received when the answer ended */
   int64_t started_ms;
 };
 
@@ -103,7 +103,7 @@
 {
   struct proxy *proxy;
   struct proxy_connection *caller;
-  struct MHD_Connection *connection; /* NULL after the caller disconnected */
+  struct MHD_Connection *connection; /* NULL after MHD has completed the request */
   int64_t arrived_ms;
   int64_t deadline_ms;
   char *target;     /* as received */
@@ -125,7 +125,7 @@
   struct runner *last_runner; /* of the last failed try; compared, never dereferenced */
   int64_t retry_at_ms;
   int64_t first_sent_ms; /* when the first try started */
-  int64_t progress_ms;   /* last progress of the answer */
+  int64_t progress_ms;   /* when a byte of the answer was last received or passed to MHD */
   uint64_t fingerprint;  /* of the request, for the intent store */
   struct buffer stored;  /* copy of the answer body for the intent store */
 
@@ -219,8 +219,8 @@
 void call_step (struct proxy_call *call); /* Work deferred until libcurl has returned. */
 void call_head_complete (struct proxy_call *call, struct proxy_try *t); /* From libcurl. */
 void call_try_done (struct proxy_call *call, struct proxy_try *t, CURLcode result); /* T ended. */
-void call_caller_disconnected (struct proxy_call *call); /* MHD completed the request. */
-void call_arm_timer (struct proxy_call *call);           /* For the next timeout, hedge or retry. */
+void call_request_completed (struct proxy_call *call); /* MHD completed it, answered or not. */
+void call_arm_timer (struct proxy_call *call);         /* For the next timeout, hedge or retry. */
 void call_end_service (struct proxy_call *call, bool answered); /* Releases its slot. */
 void call_free_when_done (struct proxy_call *call);             /* Frees it when unreferenced. */
 void call_free (struct proxy_call *call);                       /* Frees it unconditionally. */
--- a/src/request/proxy_service.c
+++ b/src/request/proxy_service.c
@@ -42,9 +42,9 @@
   free (s);
 }
 
-/* Frees unused services, so that requests with many names cannot exhaust memory.  */
+/* So that requests with many names cannot exhaust memory.  Returns the number of services left.  */
 static unsigned
-count_services (struct proxy *p)
+free_unused_services (struct proxy *p)
 {
   struct proxy_service *s = SLIST_FIRST (&p->services);
   unsigned n = 0;
@@ -71,7 +71,7 @@
   bool learning = runner_table_learning (p->config.table, now);
   if (!learning && router_live (p->config.router, name, now) == 0)
     return NULL;
-  if (!s && count_services (p) >= PROXY_MAX_SERVICES)
+  if (!s && free_unused_services (p) >= PROXY_MAX_SERVICES)
     return NULL;
   if (!s)
     s = service_new (p, name);
--- a/src/request/proxy_try.c
+++ b/src/request/proxy_try.c
@@ -166,7 +166,7 @@
   head_add_line (&t->head, data, len);
   if (!t->head.fault && !before && t->head.complete)
     call_head_complete (t->call, t);
-  return t->head.fault || t->abandoned ? 0 : len;
+  return t->head.fault || t->head_discarded ? 0 : len;
 }
 
 static void
@@ -340,7 +340,7 @@
 }
 
 /* libcurl may resend a request when a reused connection turns out to be closed.  With a body it
-   cannot, since it cannot rewind ours; without one, only idempotent requests reuse connections.  */
+   cannot, as on_upload cannot rewind; without one, only idempotent requests reuse connections.  */
 static void
 set_connection (struct proxy_try *t)
 {
