--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -43,7 +43,7 @@
   char id[32];
   struct sim_run runs[MAX_RUNS];
   int count;
-  struct held_end ends[MAX_RUNS];
+  struct reported_end ends[MAX_RUNS];
   int end_count;
   uint64_t numbers;   /* of ends, so far */
   int64_t hold_at_ms; /* when the open hold is answered; 0 is none */
@@ -292,16 +292,16 @@
 static void
 answer_hold (struct sim *s, struct sim_worker *w)
 {
-  static struct held_run running[MAX_RUNS];
+  static struct reported_run running[MAX_RUNS];
   forget_ends (w);
   for (int i = 0; i < w->count; i++)
     {
       const struct sim_run *r = &w->runs[i];
-      running[i] = (struct held_run){ .task = r->task,
-                                      .run = r->run,
-                                      .checkpoint = "",
-                                      .percent = 100,
-                                      .measure = r->lasting ? tail_of (s, w, r) : 1000 };
+      running[i] = (struct reported_run){ .task = r->task,
+                                          .run = r->run,
+                                          .checkpoint = "",
+                                          .percent = 100,
+                                          .measure = r->lasting ? tail_of (s, w, r) : 1000 };
     }
   const struct worker_lists lists = { .mark = w->hold.mark,
                                       .clock_ms = s->now_ms,
@@ -323,11 +323,11 @@
       const struct sim_run *r = &w->runs[i];
       if (r->lasting || r->ends_ms > s->now_ms || w->end_count == MAX_RUNS)
         continue;
-      w->ends[w->end_count++] = (struct held_end){ .number = ++w->numbers,
-                                                   .task = r->task,
-                                                   .run = r->run,
-                                                   .outcome = WORKFLOW_DONE,
-                                                   .checkpoint = "" };
+      w->ends[w->end_count++] = (struct reported_end){ .number = ++w->numbers,
+                                                       .task = r->task,
+                                                       .run = r->run,
+                                                       .outcome = WORKFLOW_DONE,
+                                                       .checkpoint = "" };
       w->runs[i] = w->runs[--w->count];
       if (w->hold_at_ms)
         w->hold_at_ms = s->now_ms;
--- a/src/cell/cell.h
+++ b/src/cell/cell.h
@@ -64,7 +64,7 @@
 
 struct cell_task
 {
-  struct cell_node node; /* in cell.tasks, by id */
+  struct cell_map_node node; /* in cell.tasks, by id */
   STAILQ_ENTRY (cell_task) link;
   struct cell_job *job;
   uint64_t id;
@@ -91,8 +91,8 @@
 
 struct cell_job
 {
-  struct cell_node node;         /* in cell.jobs, by id */
-  struct cell_node request_node; /* in cell.requests, by customer and request id */
+  struct cell_map_node node;         /* in cell.jobs, by id */
+  struct cell_map_node request_node; /* in cell.requests, by customer and request id */
   TAILQ_ENTRY (cell_job) link;
   uint64_t id;
   cell_job_spec spec;
@@ -111,7 +111,7 @@
 
 struct cell_intent
 {
-  struct cell_node node; /* in cell.intents, by customer and key */
+  struct cell_map_node node; /* in cell.intents, by customer and key */
   TAILQ_ENTRY (cell_intent) link;
   char *customer;
   char *key;
@@ -129,7 +129,7 @@
 
 struct cell_handoff
 {
-  struct cell_node node; /* in cell.handoffs, by task */
+  struct cell_map_node node; /* in cell.handoffs, by task */
   TAILQ_ENTRY (cell_handoff) link;
   uint64_t task;
   uint64_t epoch; /* of the sender */
--- a/src/cell/cell_handoff.c
+++ b/src/cell/cell_handoff.c
@@ -27,7 +27,7 @@
 struct cell_handoff *
 cell_find_handoff (const struct cell *c, uint64_t task)
 {
-  struct cell_node *n = cell_map_first (&c->handoffs, cell_hash_id (task));
+  struct cell_map_node *n = cell_map_first (&c->handoffs, cell_hash_id (task));
   for (; n; n = cell_map_next (n))
     {
       struct cell_handoff *h = CELL_CONTAINER (n, struct cell_handoff, node);
--- a/src/cell/cell_intent.c
+++ b/src/cell/cell_intent.c
@@ -7,7 +7,7 @@
 const struct cell_intent *
 cell_find_intent (const struct cell *c, const char *customer, const char *key)
 {
-  struct cell_node *n = cell_map_first (&c->intents, cell_hash_names (customer, key));
+  struct cell_map_node *n = cell_map_first (&c->intents, cell_hash_names (customer, key));
   for (; n; n = cell_map_next (n))
     {
       const struct cell_intent *i = CELL_CONTAINER (n, struct cell_intent, node);
--- a/src/cell/cell_map.c
+++ b/src/cell/cell_map.c
@@ -27,14 +27,14 @@
 grow (struct cell_map *m)
 {
   size_t size = m->size * 2;
-  struct cell_node **buckets = xcalloc (size, sizeof (void *));
+  struct cell_map_node **buckets = xcalloc (size, sizeof (void *));
   for (size_t i = 0; i < m->size; i++)
     {
-      struct cell_node *n = m->buckets[i];
+      struct cell_map_node *n = m->buckets[i];
       while (n)
         {
-          struct cell_node *next = n->next;
-          struct cell_node **head = &buckets[n->hash & (size - 1)];
+          struct cell_map_node *next = n->next;
+          struct cell_map_node **head = &buckets[n->hash & (size - 1)];
           n->next = *head;
           *head = n;
           n = next;
@@ -46,11 +46,11 @@
 }
 
 void
-cell_map_add (struct cell_map *m, struct cell_node *n, uint64_t hash)
+cell_map_add (struct cell_map *m, struct cell_map_node *n, uint64_t hash)
 {
   if (m->count >= m->size)
     grow (m);
-  struct cell_node **head = &m->buckets[hash & (m->size - 1)];
+  struct cell_map_node **head = &m->buckets[hash & (m->size - 1)];
   n->hash = hash;
   n->next = *head;
   *head = n;
@@ -58,9 +58,9 @@
 }
 
 void
-cell_map_remove (struct cell_map *m, struct cell_node *n)
+cell_map_remove (struct cell_map *m, struct cell_map_node *n)
 {
-  struct cell_node **p = &m->buckets[n->hash & (m->size - 1)];
+  struct cell_map_node **p = &m->buckets[n->hash & (m->size - 1)];
   while (*p && *p != n)
     p = &(*p)->next;
   if (!*p)
@@ -70,20 +70,20 @@
   m->count--;
 }
 
-struct cell_node *
+struct cell_map_node *
 cell_map_first (const struct cell_map *m, uint64_t hash)
 {
-  struct cell_node *n = m->buckets[hash & (m->size - 1)];
+  struct cell_map_node *n = m->buckets[hash & (m->size - 1)];
   while (n && n->hash != hash)
     n = n->next;
   return n;
 }
 
-struct cell_node *
-cell_map_next (const struct cell_node *n)
+struct cell_map_node *
+cell_map_next (const struct cell_map_node *n)
 {
   uint64_t hash = n->hash;
-  struct cell_node *next = n->next;
+  struct cell_map_node *next = n->next;
   while (next && next->hash != hash)
     next = next->next;
   return next;
--- a/src/cell/cell_task.c
+++ b/src/cell/cell_task.c
@@ -58,7 +58,7 @@
 struct cell_job *
 cell_find_job (const struct cell *c, uint64_t id)
 {
-  struct cell_node *n = cell_map_first (&c->jobs, cell_hash_id (id));
+  struct cell_map_node *n = cell_map_first (&c->jobs, cell_hash_id (id));
   for (; n; n = cell_map_next (n))
     {
       struct cell_job *j = CELL_CONTAINER (n, struct cell_job, node);
@@ -71,7 +71,7 @@
 struct cell_job *
 cell_find_request (const struct cell *c, const char *customer, const char *request_id)
 {
-  struct cell_node *n = cell_map_first (&c->requests, cell_hash_names (customer, request_id));
+  struct cell_map_node *n = cell_map_first (&c->requests, cell_hash_names (customer, request_id));
   for (; n; n = cell_map_next (n))
     {
       struct cell_job *j = CELL_CONTAINER (n, struct cell_job, request_node);
@@ -84,7 +84,7 @@
 struct cell_task *
 cell_find_task (const struct cell *c, uint64_t id)
 {
-  struct cell_node *n = cell_map_first (&c->tasks, cell_hash_id (id));
+  struct cell_map_node *n = cell_map_first (&c->tasks, cell_hash_id (id));
   for (; n; n = cell_map_next (n))
     {
       struct cell_task *t = CELL_CONTAINER (n, struct cell_task, node);
--- a/src/cell/cell_transfers.c
+++ b/src/cell/cell_transfers.c
@@ -26,7 +26,7 @@
 /* Last step of one kind for one task; soft state of the leader.  */
 struct step
 {
-  struct cell_node node; /* in steps, by kind and task */
+  struct cell_map_node node; /* in steps, by kind and task */
   struct cell_transfers *transfers;
   enum step_kind kind;
   uint64_t task;
@@ -84,8 +84,8 @@
 {
   for (size_t i = 0; i < t->steps.size; i++)
     {
-      struct cell_node *next;
-      for (struct cell_node *n = t->steps.buckets[i]; n; n = next)
+      struct cell_map_node *next;
+      for (struct cell_map_node *n = t->steps.buckets[i]; n; n = next)
         {
           struct step *s = CELL_CONTAINER (n, struct step, node);
           next = n->next;
@@ -104,8 +104,8 @@
     return;
   for (size_t i = 0; i < t->steps.size; i++)
     {
-      struct cell_node *next;
-      for (struct cell_node *n = t->steps.buckets[i]; n; n = next)
+      struct cell_map_node *next;
+      for (struct cell_map_node *n = t->steps.buckets[i]; n; n = next)
         {
           next = n->next;
           free (CELL_CONTAINER (n, struct step, node));
@@ -191,7 +191,7 @@
 find_or_create_step (struct cell_transfers *t, enum step_kind kind, uint64_t task)
 {
   uint64_t hash = step_hash (kind, task);
-  for (struct cell_node *n = cell_map_first (&t->steps, hash); n; n = cell_map_next (n))
+  for (struct cell_map_node *n = cell_map_first (&t->steps, hash); n; n = cell_map_next (n))
     {
       struct step *s = CELL_CONTAINER (n, struct step, node);
       if (s->kind == kind && s->task == task)
--- a/src/cell/held_polls.c
+++ b/src/cell/held_polls.c
@@ -8,7 +8,7 @@
 struct held_poll_entry
 {
   struct held_poll poll;
-  struct cell_node node; /* in by_worker */
+  struct cell_map_node node; /* in by_worker */
   TAILQ_ENTRY (held_poll_entry) link;
 };
 
@@ -50,7 +50,7 @@
 bool
 held_polls_take (struct held_polls *h, const char *worker, struct held_poll *out)
 {
-  struct cell_node *n = cell_map_first (&h->by_worker, cell_hash_names (worker, ""));
+  struct cell_map_node *n = cell_map_first (&h->by_worker, cell_hash_names (worker, ""));
   for (; n; n = cell_map_next (n))
     {
       struct held_poll_entry *e = CELL_CONTAINER (n, struct held_poll_entry, node);
--- a/src/request/intent_log.c
+++ b/src/request/intent_log.c
@@ -17,7 +17,7 @@
 
 struct intent_attempt
 {
-  struct cell_node node; /* in running, by customer and key */
+  struct cell_map_node node; /* in running, by customer and key */
   struct intent_log *log;
   char *customer;
   char key[KEY_TEXT_BYTES];
@@ -97,7 +97,7 @@
 static struct intent_attempt *
 find_attempt (struct intent_log *l, const char *customer, const char *key)
 {
-  struct cell_node *n = cell_map_first (&l->running, cell_hash_names (customer, key));
+  struct cell_map_node *n = cell_map_first (&l->running, cell_hash_names (customer, key));
   for (; n; n = cell_map_next (n))
     {
       struct intent_attempt *a = CELL_CONTAINER (n, struct intent_attempt, node);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -53,7 +53,7 @@
 sched_get_customer (struct scheduler *s, const char *name)
 {
   uint64_t hash = cell_hash_names (name, "");
-  struct cell_node *n = cell_map_first (&s->customer_map, hash);
+  struct cell_map_node *n = cell_map_first (&s->customer_map, hash);
   for (; n; n = cell_map_next (n))
     {
       struct sched_customer *c = CELL_CONTAINER (n, struct sched_customer, node);
@@ -77,7 +77,7 @@
   snprintf (key, sizeof key, "%s %s/%s", urgent ? "urgent" : "batch", spec->customer,
             spec->service);
   uint64_t hash = cell_hash_names (key, "");
-  struct cell_node *n = cell_map_first (&s->class_map, hash);
+  struct cell_map_node *n = cell_map_first (&s->class_map, hash);
   for (; n; n = cell_map_next (n))
     {
       struct sched_class *c = CELL_CONTAINER (n, struct sched_class, node);
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -27,7 +27,7 @@
 
 struct sched_customer
 {
-  struct cell_node node; /* by name */
+  struct cell_map_node node; /* by name */
   LIST_ENTRY (sched_customer) link;
   char name[CELL_NAME_BYTES + 1];
   struct scheduler_quota quota;
@@ -42,7 +42,7 @@
 /* A service or batch class of one customer: its queue and the estimates learned for it.  */
 struct sched_class
 {
-  struct cell_node node;         /* by customer and name */
+  struct cell_map_node node;     /* by customer and name */
   LIST_ENTRY (sched_class) link; /* of the customer's classes */
   struct task_queue queue;
   size_t skipped; /* tasks skipped in this round */
@@ -132,7 +132,7 @@
 
 struct sched_worker
 {
-  struct cell_node node; /* by id */
+  struct cell_map_node node; /* by id */
   size_t row;
   uint64_t incarnation;
   uint64_t sequence;
--- a/src/scheduler/scheduler_worker.c
+++ b/src/scheduler/scheduler_worker.c
@@ -11,7 +11,7 @@
 struct sched_worker *
 sched_find_worker (const struct scheduler *s, const char *id)
 {
-  struct cell_node *n = cell_map_first (&s->worker_map, cell_hash_names (id, ""));
+  struct cell_map_node *n = cell_map_first (&s->worker_map, cell_hash_names (id, ""));
   for (; n; n = cell_map_next (n))
     {
       struct sched_worker *w = CELL_CONTAINER (n, struct sched_worker, node);
--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -14,7 +14,7 @@
 bool
 dispatch_has_authority (const struct dispatcher *d)
 {
-  return dispatcher_may_act (d, d->now_ms);
+  return dispatcher_has_authority (d, d->now_ms);
 }
 
 uint64_t
@@ -26,7 +26,7 @@
 }
 
 bool
-dispatcher_may_act (const struct dispatcher *d, int64_t now_ms)
+dispatcher_has_authority (const struct dispatcher *d, int64_t now_ms)
 {
   return d->leading && now_ms < d->authority_until_ms;
 }
--- a/src/workflow/dispatcher.h
+++ b/src/workflow/dispatcher.h
@@ -63,8 +63,8 @@
 void dispatcher_resign (struct dispatcher *d);  /* Drops all state. */
 void dispatcher_set_authority (struct dispatcher *d,
                                int64_t until_ms); /* No other leader can exist before UNTIL_MS. */
-bool dispatcher_may_act (const struct dispatcher *d,
-                         int64_t now_ms); /* Leads, and no other leader can exist now. */
+bool dispatcher_has_authority (const struct dispatcher *d,
+                               int64_t now_ms); /* Leads, and no other leader can exist now. */
 void dispatcher_proposed (struct dispatcher *d, int64_t now_ms, uint64_t token,
                           bool applied); /* Applied, or certain never to be. */
 
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -66,7 +66,7 @@
       mark_uncertain (d, r);
       r->stop_settled = true;
       break;
-    case WORKER_CALL_OTHER_INCARNATION:
+    case WORKER_CALL_OTHER_WORKER:
       end_not_started (d, r, result);
       dispatch_mark_gone (d, r->worker, "another worker has its address");
       break;
@@ -89,7 +89,7 @@
     return;
   r->stop_pending = false;
   r->stop_next_ms = now_ms + STOP_RETRY_MS;
-  if (result == WORKER_CALL_OTHER_INCARNATION)
+  if (result == WORKER_CALL_OTHER_WORKER)
     dispatch_mark_gone (d, r->worker, "another worker has its address");
   if (result != WORKER_CALL_OK)
     return;
@@ -113,7 +113,8 @@
 }
 
 static void
-stop_unknown_run (struct dispatcher *d, const struct dispatch_worker *w, const struct held_run *h)
+stop_unknown_run (struct dispatcher *d, const struct dispatch_worker *w,
+                  const struct reported_run *h)
 {
   const struct worker_stop order
       = { .to = dispatch_address (d, w), .task = h->task, .run = h->run };
@@ -124,7 +125,7 @@
 
 /* Stores the measure; for a lasting task with a target, raises WORST to its tail / target.  */
 static void
-update_measure (struct dispatch_run *r, const struct held_run *h, double *worst)
+update_measure (struct dispatch_run *r, const struct reported_run *h, double *worst)
 {
   const workflow_step *s = workflow_step_of (r->task);
   r->measure = h->measure;
@@ -150,7 +151,7 @@
   dispatch_update_mix (d, w);
   for (size_t i = 0; i < lists->running_len; i++)
     {
-      const struct held_run *h = &lists->running[i];
+      const struct reported_run *h = &lists->running[i];
       struct dispatch_run *r = dispatch_find_run (d, w->id, &h->task, h->run);
       if (!r)
         {
@@ -202,7 +203,8 @@
 /* H is the end of a run that has another end in the log.  Returns true while it must be committed
    before it is acknowledged.  */
 static bool
-record_late_end (struct dispatcher *d, const struct dispatch_worker *w, const struct held_end *h)
+record_late_end (struct dispatcher *d, const struct dispatch_worker *w,
+                 const struct reported_end *h)
 {
   static char empty[] = "";
   struct workflow_task *t = workflow_find_task (d->config.workflow, &h->task);
@@ -228,7 +230,7 @@
 {
   for (size_t i = 0; i < lists->ended_len; i++)
     {
-      const struct held_end *h = &lists->ended[i];
+      const struct reported_end *h = &lists->ended[i];
       if (h->number <= w->acknowledged)
         continue;
       struct listed_end *e = find_or_add_end (w, h->number);
@@ -317,7 +319,7 @@
   w->hold_next_ms = now_ms + HOLD_RETRY_MS;
   log_event (LOG_INFO, "hold-failed", "worker=%s result=%s silent_ms=%" PRId64, worker,
              result_name (result), w->fenced ? now_ms - w->last_answer_ms : 0);
-  if (result == WORKER_CALL_OTHER_INCARNATION)
+  if (result == WORKER_CALL_OTHER_WORKER)
     dispatch_mark_gone (d, w, "another worker has its address");
 }
 
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -96,7 +96,7 @@
 
 struct dispatch_worker
 {
-  struct cell_node node; /* in workers, by hash of the id */
+  struct cell_map_node node; /* in workers, by hash of the id */
   TAILQ_ENTRY (dispatch_worker) link;
 
   /* Its last report.  */
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -9,7 +9,7 @@
 dispatch_find_worker (const struct dispatcher *d, const char *id)
 {
   uint64_t hash = cell_hash_names (id, "");
-  for (struct cell_node *n = cell_map_first (&d->workers, hash); n; n = cell_map_next (n))
+  for (struct cell_map_node *n = cell_map_first (&d->workers, hash); n; n = cell_map_next (n))
     {
       struct dispatch_worker *w = CELL_CONTAINER (n, struct dispatch_worker, node);
       if (strcmp (w->id, id) == 0)
--- a/src/workflow/order_relay.c
+++ b/src/workflow/order_relay.c
@@ -37,7 +37,7 @@
 /* A relayed order that waits for its answer.  */
 struct pending_call
 {
-  struct cell_node node; /* in calls, keyed by id */
+  struct cell_map_node node; /* in calls, keyed by id */
   TAILQ_ENTRY (pending_call) link;
   uint64_t id;
   uint64_t helper;
@@ -80,7 +80,7 @@
 static struct pending_call *
 find_call (struct order_relay *r, uint64_t id)
 {
-  struct cell_node *n = cell_map_first (&r->calls, cell_hash_id (id));
+  struct cell_map_node *n = cell_map_first (&r->calls, cell_hash_id (id));
   while (n && ((struct pending_call *)n)->id != id)
     n = cell_map_next (n);
   return (struct pending_call *)n;
@@ -362,25 +362,25 @@
       return;
     }
   const relayed_lists *from = a->lists;
-  struct held_run *running = xcalloc (from->running.running_len + 1, sizeof *running);
-  struct held_end *ended = xcalloc (from->ended.ended_len + 1, sizeof *ended);
+  struct reported_run *running = xcalloc (from->running.running_len + 1, sizeof *running);
+  struct reported_end *ended = xcalloc (from->ended.ended_len + 1, sizeof *ended);
   for (u_int i = 0; i < from->running.running_len; i++)
     {
       const listed_run *l = &from->running.running_val[i];
-      running[i] = (struct held_run){ .task = l->task,
-                                      .run = l->run,
-                                      .checkpoint = l->checkpoint,
-                                      .percent = l->percent,
-                                      .measure = l->measure };
+      running[i] = (struct reported_run){ .task = l->task,
+                                          .run = l->run,
+                                          .checkpoint = l->checkpoint,
+                                          .percent = l->percent,
+                                          .measure = l->measure };
     }
   for (u_int i = 0; i < from->ended.ended_len; i++)
     {
       const listed_end_row *l = &from->ended.ended_val[i];
-      ended[i] = (struct held_end){ .number = l->number,
-                                    .task = l->task,
-                                    .run = l->run,
-                                    .outcome = l->outcome,
-                                    .checkpoint = l->checkpoint };
+      ended[i] = (struct reported_end){ .number = l->number,
+                                        .task = l->task,
+                                        .run = l->run,
+                                        .outcome = l->outcome,
+                                        .checkpoint = l->checkpoint };
     }
   const struct worker_lists lists = { .mark = c->mark,
                                       .clock_ms = from->clock_ms,
--- a/src/workflow/orders_codec.c
+++ b/src/workflow/orders_codec.c
@@ -51,7 +51,7 @@
   u_int n = 0;
   for (size_t i = 0; i < lists->running_len && n < ORDERS_MOST_RUNS; i++)
     {
-      const struct held_run *h = &lists->running[i];
+      const struct reported_run *h = &lists->running[i];
       out[n++] = (listed_run){ .task = h->task,
                                .run = h->run,
                                .checkpoint = (char *)(uintptr_t)h->checkpoint,
@@ -67,7 +67,7 @@
   u_int n = 0;
   for (size_t i = 0; i < lists->ended_len && n < ORDERS_MOST_ENDS; i++)
     {
-      const struct held_end *h = &lists->ended[i];
+      const struct reported_end *h = &lists->ended[i];
       out[n++] = (listed_end_row){ .number = h->number,
                                    .task = h->task,
                                    .run = h->run,
--- a/src/workflow/worker_link.h
+++ b/src/workflow/worker_link.h
@@ -18,14 +18,14 @@
 enum worker_call_result
 {
   WORKER_CALL_OK,
-  WORKER_CALL_FENCED,            /* a newer leader has called this worker */
-  WORKER_CALL_OLD_RUN,           /* this or a later run was stopped or ended there */
-  WORKER_CALL_LATE,              /* the deadline had passed */
-  WORKER_CALL_NO_ROOM,           /* not enough free capacity */
-  WORKER_CALL_NO_TICKET,         /* the advice that allows this worker is missing */
-  WORKER_CALL_REFUSED,           /* malformed, or the worker is unhealthy */
-  WORKER_CALL_OTHER_INCARNATION, /* another worker has the address; the intended one is gone */
-  WORKER_CALL_UNKNOWN,           /* no answer: executed, or may be later */
+  WORKER_CALL_FENCED,       /* a newer leader has called this worker */
+  WORKER_CALL_OLD_RUN,      /* this or a later run was stopped or ended there */
+  WORKER_CALL_LATE,         /* the deadline had passed */
+  WORKER_CALL_NO_ROOM,      /* not enough free capacity */
+  WORKER_CALL_NO_TICKET,    /* the advice that allows this worker is missing */
+  WORKER_CALL_REFUSED,      /* malformed, or the worker is unhealthy */
+  WORKER_CALL_OTHER_WORKER, /* another worker id has the address; the intended one is gone */
+  WORKER_CALL_UNKNOWN,      /* no answer: executed, or may be later */
 };
 
 struct worker_address
@@ -88,7 +88,7 @@
 };
 
 /* Running run in a worker's answer.  */
-struct held_run
+struct reported_run
 {
   workflow_task_ref task;
   uint32_t run;
@@ -98,7 +98,7 @@
 };
 
 /* Ended run in a worker's answer.  */
-struct held_end
+struct reported_end
 {
   uint64_t number; /* from 1 in each incarnation of the worker */
   workflow_task_ref task;
@@ -113,9 +113,9 @@
   uint64_t mark;
   int64_t clock_ms; /* of the worker */
   int64_t born_ms;  /* Unix time of the incarnation's start; 0 when not sent */
-  const struct held_run *running;
+  const struct reported_run *running;
   size_t running_len;
-  const struct held_end *ended;
+  const struct reported_end *ended;
   size_t ended_len;
   bool complete; /* all ends are in the list */
 };
--- a/src/workflow/workflow.c
+++ b/src/workflow/workflow.c
@@ -9,7 +9,8 @@
 struct workflow_job *
 workflow_find_job (const struct workflow *w, uint64_t id)
 {
-  for (struct cell_node *n = cell_map_first (&w->jobs, cell_hash_id (id)); n; n = cell_map_next (n))
+  for (struct cell_map_node *n = cell_map_first (&w->jobs, cell_hash_id (id)); n;
+       n = cell_map_next (n))
     {
       struct workflow_job *j = CELL_CONTAINER (n, struct workflow_job, node);
       if (j->spec.id == id)
--- a/src/workflow/workflow.h
+++ b/src/workflow/workflow.h
@@ -96,7 +96,7 @@
 
 struct workflow_job
 {
-  struct cell_node node; /* in workflow.jobs, by id */
+  struct cell_map_node node; /* in workflow.jobs, by id */
   TAILQ_ENTRY (workflow_job) link;
   workflow_spec spec;
   enum workflow_job_state state;
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -13,7 +13,7 @@
   assert_int_equal (f->start_count, 1);
   fixture_answer_start (f, &f->starts[0], WORKER_CALL_OK);
   fixture_tick (f, 20);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
   struct sent_hold h = fixture_last_hold (f, "w1");
   const struct worker_lists lists = { .mark = h.mark,
                                       .clock_ms = f->now_ms,
@@ -73,11 +73,11 @@
   fixture_tick (f, 20);
   fixture_answer_start (f, &f->starts[0], WORKER_CALL_UNKNOWN);
   fixture_tick (f, 20);
-  const struct held_run run = fixture_running (&f->starts[0]);
+  const struct reported_run run = fixture_running (&f->starts[0]);
   fixture_answer_hold (f, "w1", &run, 1, NULL, 0);
   fixture_tick (f, 20);
   assert_int_equal (f->stop_count, 0);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
   fixture_answer_hold (f, "w1", NULL, 0, &end, 1);
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_COMPLETED);
 }
@@ -93,7 +93,7 @@
   fixture_tick (f, 20);
   fixture_answer_start (f, &f->starts[0], WORKER_CALL_OK);
   fixture_tick (f, 20);
-  const struct held_run run = fixture_running (&f->starts[0]);
+  const struct reported_run run = fixture_running (&f->starts[0]);
   fixture_answer_hold (f, "w1", &run, 1, NULL, 0);
   fixture_join (f, "w2", "10.0.0.2:1");
   int64_t silent_ms = f->now_ms;
@@ -135,7 +135,7 @@
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 2);
   assert_int_equal (fixture_last_hold (f, "w1").fence, 8);
-  const struct held_run run = fixture_running (&f->starts[0]);
+  const struct reported_run run = fixture_running (&f->starts[0]);
   fixture_answer_hold (f, "w1", &run, 1, NULL, 0);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 3);
@@ -187,7 +187,7 @@
 {
   struct fixture *f = *state;
   lapse_one_run (f);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
   fixture_answer_hold (f, "w1", NULL, 0, &end, 1);
   fixture_tick (f, 100);
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_COMPLETED);
@@ -204,7 +204,7 @@
   f->now_ms += 20;
   dispatcher_tick (f->dispatcher, f->now_ms, f->now_ms);
   assert_int_equal (f->log_count, 1);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
   fixture_answer_hold (f, "w1", NULL, 0, &end, 1);
   fixture_tick (f, 100);
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_COMPLETED);
@@ -217,7 +217,7 @@
 {
   struct fixture *f = *state;
   lapse_one_run (f);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_DONE);
   const struct worker_lists lists = { .mark = fixture_last_hold (f, "w1").mark,
                                       .clock_ms = f->now_ms,
                                       .born_ms = 1000,
@@ -363,7 +363,7 @@
   dispatcher_stop_answer (f->dispatcher, f->now_ms, "w1", &f->stops[0].task, 1, WORKER_CALL_OK);
   fixture_tick (f, 400);
   assert_int_equal (f->stop_count, 2);
-  const struct held_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_STOPPED);
+  const struct reported_end end = fixture_ended (&f->starts[0], 1, WORKFLOW_STOPPED);
   fixture_answer_hold (f, "w1", NULL, 0, &end, 1);
   assert_true (TAILQ_EMPTY (&f->workflow.runs));
   fixture_tick (f, 20);
@@ -390,7 +390,7 @@
   struct fixture *f = *state;
   fixture_join (f, "w1", "10.0.0.1:1");
   fixture_tick (f, 20);
-  const struct held_run run = { .task = { .job = 99 }, .run = 1, .checkpoint = "" };
+  const struct reported_run run = { .task = { .job = 99 }, .run = 1, .checkpoint = "" };
   fixture_answer_hold (f, "w1", &run, 1, NULL, 0);
   assert_int_equal (f->stop_count, 1);
   assert_int_equal (f->stops[0].task.job, 99);
@@ -415,7 +415,7 @@
       const struct sent_start *s = &f->starts[attempt];
       fixture_answer_start (f, s, WORKER_CALL_OK);
       fixture_tick (f, 20);
-      const struct held_end end = fixture_ended (s, attempt + 1, WORKFLOW_FAILED);
+      const struct reported_end end = fixture_ended (s, attempt + 1, WORKFLOW_FAILED);
       fixture_answer_hold (f, s->worker, NULL, 0, &end, 1);
     }
   assert_int_equal (workflow_find_job (&f->workflow, 1)->state, WORKFLOW_JOB_FAILED);
@@ -443,7 +443,7 @@
   const struct sent_start *s = &f->starts[at];
   fixture_answer_start (f, s, WORKER_CALL_OK);
   fixture_tick (f, 20);
-  const struct held_end end = fixture_ended (s, 1, WORKFLOW_DONE);
+  const struct reported_end end = fixture_ended (s, 1, WORKFLOW_DONE);
   fixture_answer_hold (f, "w1", NULL, 0, &end, 1);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 17);
@@ -494,9 +494,9 @@
   bool restarted = false;
   for (int round = 0; round < 30 && !restarted; round++)
     {
-      struct held_run running[FIXTURE_MAX];
+      struct reported_run running[FIXTURE_MAX];
       size_t count = 0;
-      const struct held_end end = fixture_ended (&f->starts[ended], ended + 1, WORKFLOW_DONE);
+      const struct reported_end end = fixture_ended (&f->starts[ended], ended + 1, WORKFLOW_DONE);
       ended++;
       for (size_t i = ended; i < f->start_count; i++)
         {
--- a/tests/test_order_relay.c
+++ b/tests/test_order_relay.c
@@ -298,9 +298,9 @@
 test_hold_returns_lists_and_mark (void **state)
 {
   struct fixture f;
-  const struct held_run running
+  const struct reported_run running
       = { .task = { .job = 5 }, .run = 2, .checkpoint = "saved", .percent = 40, .measure = 9 };
-  const struct held_end ended[2]
+  const struct reported_end ended[2]
       = { { .number = 1, .run = 1, .outcome = WORKFLOW_DONE, .checkpoint = "" },
           { .number = 2, .run = 2, .outcome = WORKFLOW_FAILED, .checkpoint = "" } };
   const struct worker_lists lists = { .clock_ms = 50,
--- a/tests/workflow_fixture.h
+++ b/tests/workflow_fixture.h
@@ -191,8 +191,8 @@
 }
 
 static inline void
-fixture_answer_hold (struct fixture *f, const char *worker, const struct held_run *running,
-                     size_t running_len, const struct held_end *ended, size_t ended_len)
+fixture_answer_hold (struct fixture *f, const char *worker, const struct reported_run *running,
+                     size_t running_len, const struct reported_end *ended, size_t ended_len)
 {
   struct sent_hold h = fixture_last_hold (f, worker);
   const struct worker_lists lists = { .mark = h.mark,
@@ -280,16 +280,16 @@
   return fixture_change (f, &c);
 }
 
-static inline struct held_run
+static inline struct reported_run
 fixture_running (const struct sent_start *s)
 {
-  return (struct held_run){ .task = s->task, .run = s->run, .checkpoint = "", .percent = 50 };
+  return (struct reported_run){ .task = s->task, .run = s->run, .checkpoint = "", .percent = 50 };
 }
 
-static inline struct held_end
+static inline struct reported_end
 fixture_ended (const struct sent_start *s, uint64_t number, enum workflow_outcome outcome)
 {
-  return (struct held_end){
+  return (struct reported_end){
     .number = number, .task = s->task, .run = s->run, .outcome = outcome, .checkpoint = ""
   };
 }
