--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -59,7 +59,7 @@
   r->task = t;
   r->number = number;
   r->sent_ms = d->now_ms;
-  r->paced = PACING_FULL_PERCENT;
+  r->paced_percent = PACING_FULL_PERCENT;
   r->image = dispatch_image_id (d, workflow_step_of (t));
   TAILQ_INSERT_TAIL (&w->runs, r, link);
   adjust_usage (r, 1);
@@ -380,7 +380,7 @@
   if (may_stop && r->stop_requested && !r->stop_settled && !r->stop_pending
       && d->now_ms >= r->stop_next_ms)
     send_stop (d, r);
-  if (r->state == DISPATCH_RUNNING && !r->pace_pending && r->paced != target_pace (d, r))
+  if (r->state == DISPATCH_RUNNING && !r->pace_pending && r->paced_percent != target_pace (d, r))
     send_pace (d, r);
 }
 
@@ -412,19 +412,19 @@
   const struct dispatch_worker *w;
   const struct dispatch_run *r;
   uint64_t fill = 0;
-  uint64_t paced = 0;
+  uint64_t fill_paced = 0;
   uint64_t used = 0;
   unsigned usable = 0;
-  unsigned held = 0;
+  unsigned paced_workers = 0;
   if (d->now_ms < d->load_log_next_ms)
     return;
   d->load_log_next_ms = d->now_ms + LOAD_LOG_PERIOD_MS;
   TAILQ_FOREACH (w, &d->worker_list, link)
   {
     usable += dispatch_usable (d, w);
-    held += w->pacing.percent < PACING_FULL_PERCENT;
+    paced_workers += w->pacing.percent < PACING_FULL_PERCENT;
     fill += w->fill_millicores;
-    paced += (uint64_t)w->fill_millicores * w->pacing.percent / PACING_FULL_PERCENT;
+    fill_paced += (uint64_t)w->fill_millicores * w->pacing.percent / PACING_FULL_PERCENT;
     TAILQ_FOREACH (r, &w->runs, link)
     if (workflow_step_of (r->task)->flags & WORKFLOW_STEP_FILL)
       used += r->measure;
@@ -432,7 +432,8 @@
   log_event (LOG_INFO, "load",
              "usable=%u held_back=%u waiting=%u waiting_fill=%" PRIu64 " fill=%" PRIu64
              " fill_paced=%" PRIu64 " fill_used=%" PRIu64 " tick_lag_ms=%.0f",
-             usable, held, d->waiting, d->waiting_fill, fill, paced, used, d->tick_lag_ms);
+             usable, paced_workers, d->waiting, d->waiting_fill, fill, fill_paced, used,
+             d->tick_lag_ms);
 }
 
 static unsigned
--- a/src/workflow/dispatcher.h
+++ b/src/workflow/dispatcher.h
@@ -12,16 +12,17 @@
    RUNNING    the worker reported that it runs
    ENDING     its end is proposed
 
-   Safety.  A start is sent only after its placement is committed, while no other leader can exist,
-   and to a worker whose report and hold answer this leader has received.  A run is removed only
-   with a committed end.  If the worker lists no end, the end needs a proof that the run doesn't run
-   and never will: the answer to a hold sent after the run's last order was settled doesn't list
-   it; that incarnation of the worker has ended; or its lease has expired even on the slowest clock
-   that the worker may have.  An uncertain order is settled by a stop order for that run, after
-   which the worker refuses a late start of it.  The first hold of a leader raises the worker's
-   fence, which settles the orders of all earlier leaders.
-
-   Acknowledgement.  An end is acknowledged to the worker after it is committed.
+   Safety.  A start is sent only after its placement is committed, under authority (while no other
+   leader can exist), and to a worker whose report and hold answer this leader has received.  A run
+   is removed only with a committed end.  If the worker lists no end, the end needs a proof that the
+   run doesn't run and never will: the answer to a hold sent after the run's last order was settled
+   doesn't list it; that incarnation of the worker has ended; or its lease has expired even on the
+   slowest clock that the worker may have.  An uncertain order is settled by a stop order for that
+   run, after which the worker refuses a late start of it.  The first hold of a leader raises the
+   worker's fence, which settles the orders of all earlier leaders.
+
+   Holds.  A hold is the periodic call to a worker: it renews the lease, returns the lists of
+   running and ended runs, and acknowledges the ends that are committed.
 
    Use: call dispatcher_tick every DISPATCHER_TICK_MS and after a group of inputs.  */
 
@@ -42,13 +43,13 @@
 
 /* Called once per command to append to the log; the outcome is passed to dispatcher_proposed with
    the same token.  */
-typedef void dispatcher_propose (void *arg, const workflow_command *command, uint64_t token);
+typedef void dispatcher_propose_fn (void *arg, const workflow_command *command, uint64_t token);
 
 struct dispatcher_config
 {
   struct workflow *workflow;
   struct worker_link *link;
-  dispatcher_propose *propose;
+  dispatcher_propose_fn *propose;
   void *propose_arg;
   int64_t lease_ms;  /* longest lease that workers accept */
   int64_t status_ms; /* retention of ended jobs */
@@ -91,7 +92,8 @@
 size_t dispatcher_worker_count (const struct dispatcher *d); /* Known to this leader. */
 
 void dispatcher_tick (struct dispatcher *d, int64_t now_ms, int64_t wall_ms); /* Periodic work. */
-bool dispatcher_can_ever_fit (const struct dispatcher *d, const workflow_spec *spec,
-                              const char *pool); /* False: no worker of POOL is large enough. */
+bool
+dispatcher_can_ever_fit (const struct dispatcher *d, const workflow_spec *spec,
+                         const char *pool); /* False: no known worker of POOL fits some step. */
 
 #endif
--- a/src/workflow/dispatcher_answer.c
+++ b/src/workflow/dispatcher_answer.c
@@ -24,7 +24,7 @@
   r->settled_mark = ++d->mark;
 }
 
-/* The order's outcome is unknown: the next hold shows it, and a run that it lists needs no stop. */
+/* Outcome unknown: the next hold shows whether the run started; a listed run needs no stop.  */
 static void
 mark_uncertain (struct dispatcher *d, struct dispatch_run *r)
 {
@@ -109,7 +109,7 @@
     return;
   r->pace_pending = false;
   if (result == WORKER_CALL_OK)
-    r->paced = percent;
+    r->paced_percent = percent;
 }
 
 static void
--- a/src/workflow/dispatcher_interference.c
+++ b/src/workflow/dispatcher_interference.c
@@ -5,7 +5,7 @@
 #include "dispatcher_internal.h"
 
 #define MIN_SHARE 0.002             /* smoothed shares below it are dropped */
-#define PACED_COEFFICIENT_RATIO 0.3 /* of the largest coefficient; paced from there on */
+#define PACED_COEFFICIENT_RATIO 0.3 /* of the largest coefficient; images from it up are paced */
 
 static bool
 is_fill (const struct dispatch_run *r)
@@ -46,7 +46,7 @@
     if (!is_fill (r) || w->millicores == 0 || r->state != DISPATCH_RUNNING)
       continue;
     double share = (double)workflow_step_of (r->task)->millicores / w->millicores;
-    add_share (mix, &count, r->image, share * r->paced / PACING_FULL_PERCENT);
+    add_share (mix, &count, r->image, share * r->paced_percent / PACING_FULL_PERCENT);
   }
   return count;
 }
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -44,7 +44,7 @@
 /* Tails are averages over half a second, so the fill-in mix is smoothed in the same way.  */
 #define MIX_TIME_CONSTANT_MS 300.0
 #define MAX_MIX 16             /* fill-in images tracked per worker */
-#define REPORT_MAX_AGE_MS 4000 /* by its clock against the last answer's; older ones are stale */
+#define REPORT_MAX_AGE_MS 4000 /* a report this far behind the worker's expected clock is stale */
 
 enum dispatch_state
 {
@@ -64,20 +64,20 @@
   struct dispatch_worker *worker;
   struct workflow_task *task;
   struct workflow_run *run; /* NULL while PLACING */
-  uint32_t number;          /* run number */
+  uint32_t number;
   enum dispatch_state state;
-  uint64_t token;        /* of its open proposal; 0 is none */
-  uint64_t settled_mark; /* holds with a higher mark show for certain whether it runs */
-  bool inherited;        /* an earlier leader sent the order */
-  bool stop_requested;   /* the job has ended, another copy is done, or to settle the order */
-  bool stop_settled;     /* the worker acknowledged a stop: it can't start any more */
-  bool stop_pending;     /* a stop order has no answer yet */
-  int64_t stop_next_ms;  /* next stop order */
-  int64_t running_ms;    /* when it became known to run; 0 before */
-  int64_t sent_ms;       /* last start order, or start of leadership */
-  uint32_t paced;        /* percent acknowledged by the worker */
+  uint64_t token;         /* of its open proposal; 0 is none */
+  uint64_t settled_mark;  /* holds with a higher mark show for certain whether it runs */
+  bool inherited;         /* an earlier leader sent the order */
+  bool stop_requested;    /* the job has ended, another copy is done, or to settle the order */
+  bool stop_settled;      /* the worker acknowledged a stop: it can't start any more */
+  bool stop_pending;      /* a stop order has no answer yet */
+  int64_t stop_next_ms;   /* next stop order */
+  int64_t running_ms;     /* when it became known to run; 0 before */
+  int64_t sent_ms;        /* last start order, or start of leadership */
+  uint32_t paced_percent; /* acknowledged by the worker */
   bool pace_pending;
-  uint32_t measure;
+  uint32_t measure; /* last listed; lasting: tail in ms, else millicores in use */
   int image;        /* id in the slack model; -1: neither fill-in nor serving */
   char *checkpoint; /* latest that the worker listed; NULL is none */
 };
@@ -112,7 +112,7 @@
   uint32_t millicores, memory_mb, accelerators;
   bool reported; /* to this leader */
   bool draining;
-  bool gone; /* it left, or another incarnation has its address */
+  bool gone; /* it left, or another worker has its address */
 
   /* Clock, lease and holds.  */
   bool clock_known;
@@ -224,8 +224,8 @@
 /* dispatcher_sizes.c */
 void dispatch_register_job (struct dispatcher *d, struct workflow_job *j); /* New to this leader. */
 void dispatch_record_start (struct dispatcher *d,
-                            struct workflow_job *j);       /* A task of J was placed. */
-double dispatch_size_share (const struct workflow_job *j); /* Started ratio of its size class. */
+                            struct workflow_job *j);          /* A task of J was placed. */
+double dispatch_started_ratio (const struct workflow_job *j); /* Started ratio of its size class. */
 void dispatch_clear_sizes (struct dispatcher *d);
 
 /* dispatcher_place.c */
--- a/src/workflow/dispatcher_place.c
+++ b/src/workflow/dispatcher_place.c
@@ -6,13 +6,13 @@
 #include "dispatcher_internal.h"
 #include "waiting_order.h"
 
-/* With half of a pool free no job may wait without a running task; with a margin.  */
-#define MOSTLY_FREE_RATIO 0.6
-#define STARVED_MS 1500             /* such a job may wait 3 s */
-#define WORKER_DISCOVERY_MS 5000    /* of leadership: three heartbeats of every worker */
-#define MAX_UNPLACEABLE 64          /* images x a few sizes */
-#define MAX_PLACED_PER_TICK 64      /* bounds the time of a tick; 3,200 placements a second */
-#define MIN_WORKERS_PER_RESERVED 16 /* about one worker in 16 may be reserved for restarts */
+/* Declared / total processors below which a pool is mostly free: half, plus a margin.  */
+#define MOSTLY_FREE_MAX_DECLARED_RATIO 0.6
+#define STARVED_MS 1500            /* of 3 s that a job may wait there without a running task */
+#define WORKER_DISCOVERY_MS 5000   /* of leadership: three heartbeats of every worker */
+#define MAX_UNPLACEABLE 64         /* images x a few sizes */
+#define MAX_PLACED_PER_TICK 64     /* bounds the time of a tick; 3,200 placements a second */
+#define WORKERS_PER_RESERVATION 16 /* count / 16 + 1 workers may be reserved for restarts */
 #define MILLI 1000
 
 struct waiting_task
@@ -25,11 +25,11 @@
 struct candidates
 {
   struct dispatch_worker **workers;
-  struct worker_candidate *rows;
+  struct worker_candidate *candidates;
   size_t count;
   size_t reserved;  /* workers reserved in this tick */
-  bool mostly_free; /* lasting and short tasks declare less than MOSTLY_FREE_RATIO */
-  /* Request that USABLE and NEAR_DATA of the rows were set for; NULL before the first task.  */
+  bool mostly_free; /* see MOSTLY_FREE_MAX_DECLARED_RATIO */
+  /* Request that USABLE and NEAR_DATA were set for; NULL before the first task.  */
   const char *pool;
   const char *label;
   const char *rack;
@@ -53,19 +53,19 @@
 {
   const struct workflow_job *j = w->task->job;
   const workflow_step *s = workflow_step_of (w->task);
-  bool fills = s->flags & WORKFLOW_STEP_FILL;
+  bool is_fill = s->flags & WORKFLOW_STEP_FILL;
   const struct waiting_facts facts = { .now_ms = d->now_ms,
                                        .seen_ms = j->seen_ms,
                                        .objective_ms = objective_ms (j, w->queue),
                                        .remain_ms = (int64_t)((double)j->remain_ms[w->task->step]
-                                                              * (fills ? d->fill_slowdown : 1)),
+                                                              * (is_fill ? d->fill_slowdown : 1)),
                                        .priority = w->queue->priority,
                                        .since_ms = w->task->since_ms,
-                                       .ran = w->task->last_run > 0,
-                                       .lasts = s->flags & WORKFLOW_STEP_LASTING,
-                                       .fills = fills,
+                                       .has_run = w->task->last_run > 0,
+                                       .is_lasting = s->flags & WORKFLOW_STEP_LASTING,
+                                       .is_fill = is_fill,
                                        .started = workflow_job_started (j),
-                                       .share = fills ? dispatch_size_share (j) : 0 };
+                                       .started_ratio = is_fill ? dispatch_started_ratio (j) : 0 };
   w->key = waiting_key_of (&facts);
 }
 
@@ -110,8 +110,8 @@
     (*out)[n] = (struct waiting_task){ .task = t, .queue = q };
     if (t->since_ms == 0)
       t->since_ms = d->now_ms;
-    bool lasts = workflow_step_of (t)->flags & WORKFLOW_STEP_LASTING;
-    if (n > 0 && !lasts && is_same_step ((*out)[n - 1].task, t))
+    bool is_lasting = workflow_step_of (t)->flags & WORKFLOW_STEP_LASTING;
+    if (n > 0 && !is_lasting && is_same_step ((*out)[n - 1].task, t))
       (*out)[n].key = (*out)[n - 1].key;
     else
       set_key (d, &(*out)[n]);
@@ -123,18 +123,18 @@
 }
 
 static void
-update_row (const struct dispatch_worker *w, struct worker_candidate *row)
+update_candidate (const struct dispatch_worker *w, struct worker_candidate *candidate)
 {
   uint32_t memory = w->used_memory_mb < w->memory_mb ? w->memory_mb - w->used_memory_mb : 0;
   uint32_t accelerators
       = w->used_accelerators < w->accelerators ? w->accelerators - w->used_accelerators : 0;
-  row->millicores = w->millicores;
-  row->lasting_millicores = w->lasting_millicores;
-  row->short_millicores = w->short_millicores;
-  row->fill_millicores = w->fill_millicores;
-  row->free_memory_mb = memory;
-  row->free_accelerators = accelerators;
-  row->tail_ratio = w->pacing.percent < PACING_FULL_PERCENT ? 1.0 : w->pacing.worst_tail;
+  candidate->millicores = w->millicores;
+  candidate->lasting_millicores = w->lasting_millicores;
+  candidate->short_millicores = w->short_millicores;
+  candidate->fill_millicores = w->fill_millicores;
+  candidate->free_memory_mb = memory;
+  candidate->free_accelerators = accelerators;
+  candidate->tail_ratio = w->pacing.percent < PACING_FULL_PERCENT ? 1.0 : w->pacing.worst_tail;
 }
 
 static bool
@@ -144,7 +144,7 @@
   uint64_t declared = 0;
   uint64_t total = 0;
   c->workers = xcalloc (d->workers.count + 1, sizeof (struct dispatch_worker *));
-  c->rows = xcalloc (d->workers.count + 1, sizeof *c->rows);
+  c->candidates = xcalloc (d->workers.count + 1, sizeof *c->candidates);
   c->count = 0;
   c->reserved = 0;
   c->pool = NULL;
@@ -154,12 +154,12 @@
   {
     if (!dispatch_usable (d, w))
       continue;
-    update_row (w, &c->rows[c->count]);
+    update_candidate (w, &c->candidates[c->count]);
     declared += w->lasting_millicores + w->short_millicores;
     total += w->millicores;
     c->workers[c->count++] = w;
   }
-  c->mostly_free = (double)declared < MOSTLY_FREE_RATIO * (double)total;
+  c->mostly_free = (double)declared < MOSTLY_FREE_MAX_DECLARED_RATIO * (double)total;
   return c->count > 0;
 }
 
@@ -215,10 +215,10 @@
   for (size_t i = 0; i < c->count; i++)
     {
       const struct dispatch_worker *w = c->workers[i];
-      struct worker_candidate *row = &c->rows[i];
-      row->usable = strcmp (w->pool, pool) == 0
-                    && (!s->required_label[0] || has_label (w, s->required_label));
-      row->near_data = !s->data_rack[0] || has_label (w, s->data_rack);
+      struct worker_candidate *candidate = &c->candidates[i];
+      candidate->usable = strcmp (w->pool, pool) == 0
+                          && (!s->required_label[0] || has_label (w, s->required_label));
+      candidate->near_data = !s->data_rack[0] || has_label (w, s->data_rack);
     }
 }
 
@@ -226,12 +226,12 @@
 static void
 reserve (struct candidates *c, const struct worker_request *q)
 {
-  if (c->reserved > c->count / MIN_WORKERS_PER_RESERVED)
+  if (c->reserved > c->count / WORKERS_PER_RESERVATION)
     return;
-  size_t row = worker_select_reserve (c->rows, c->count, q);
-  if (row == WORKER_SELECT_NONE)
+  size_t index = worker_select_reserve (c->candidates, c->count, q);
+  if (index == WORKER_SELECT_NONE)
     return;
-  c->rows[row].reserved = true;
+  c->candidates[index].reserved = true;
   c->reserved++;
 }
 
@@ -246,34 +246,34 @@
           .memory_mb = s->memory_mb,
           .accelerators = s->accelerators,
           .max_per_worker = s->max_per_worker,
-          .fills = s->flags & WORKFLOW_STEP_FILL,
+          .is_fill = s->flags & WORKFLOW_STEP_FILL,
           .allow_interference = c->mostly_free && t->task->job->runs == 0
                                 && d->now_ms - t->task->job->seen_ms > STARVED_MS,
-          .lasts = s->flags & WORKFLOW_STEP_LASTING,
-          .restarts = t->key.rank == WAITING_RESTART };
+          .is_lasting = s->flags & WORKFLOW_STEP_LASTING,
+          .is_restart = t->key.rank == WAITING_RESTART };
   int image = dispatch_image_id (d, s);
   update_eligibility (c, t->queue->pool, s);
   for (size_t i = 0; i < c->count; i++)
     {
       const struct dispatch_worker *w = c->workers[i];
-      struct worker_candidate *row = &c->rows[i];
-      row->interference = 0;
-      row->foreign_share = 0;
-      row->same_step = 0;
-      bool reserves = q.restarts && q.max_per_worker > 0;
-      if (!reserves && !worker_select_fits (row, &q))
+      struct worker_candidate *candidate = &c->candidates[i];
+      candidate->interference = 0;
+      candidate->foreign_share = 0;
+      candidate->same_step = 0;
+      bool reserves = q.is_restart && q.max_per_worker > 0;
+      if (!reserves && !worker_select_fits (candidate, &q))
         continue;
-      if (q.lasts)
-        row->foreign_share = foreign_share (w, s->image);
-      if (q.fills)
-        row->interference = dispatch_predict_interference (d, w, image, s->millicores);
+      if (q.is_lasting)
+        candidate->foreign_share = foreign_share (w, s->image);
+      if (q.is_fill)
+        candidate->interference = dispatch_predict_interference (d, w, image, s->millicores);
       if (s->max_per_worker > 0)
-        row->same_step = count_same_step (w, t->task);
+        candidate->same_step = count_same_step (w, t->task);
     }
-  size_t row = worker_select_best (c->rows, c->count, &q);
-  if (row == WORKER_SELECT_NONE && q.restarts)
+  size_t index = worker_select_best (c->candidates, c->count, &q);
+  if (index == WORKER_SELECT_NONE && q.is_restart)
     reserve (c, &q);
-  return row;
+  return index;
 }
 
 static void
@@ -301,7 +301,7 @@
   const struct waiting_task *last; /* that fit nowhere, tried or inferred; NULL before any */
   const struct waiting_task *tasks[MAX_UNPLACEABLE];
   size_t count;
-  bool mostly_free; /* then a job without a running task is tried by itself */
+  bool mostly_free; /* if true, a job without a running task is always tried */
 };
 
 /* A task fits nowhere if one of the same image that needs no more has fit nowhere.  */
@@ -323,7 +323,7 @@
 static bool
 is_unplaceable (const struct unplaceable *n, const struct waiting_task *w)
 {
-  /* Each of them gets a worker reserved.  */
+  /* A restart is always tried, so that choose can reserve a worker for it.  */
   if (w->key.rank == WAITING_RESTART)
     return false;
   if (n->last && is_same_step (n->last->task, w->task))
@@ -363,8 +363,8 @@
             count_waiting_fill (d, &waiting[i]);
             continue;
           }
-        size_t row = choose (d, &c, &waiting[i]);
-        if (row == WORKER_SELECT_NONE)
+        size_t index = choose (d, &c, &waiting[i]);
+        if (index == WORKER_SELECT_NONE)
           {
             unplaceable.last = &waiting[i];
             if (unplaceable.count < MAX_UNPLACEABLE)
@@ -372,15 +372,15 @@
             count_waiting_fill (d, &waiting[i]);
             continue;
           }
-        propose_place (d, c.workers[row], waiting[i].task);
-        update_row (c.workers[row], &c.rows[row]);
+        propose_place (d, c.workers[index], waiting[i].task);
+        update_candidate (c.workers[index], &c.candidates[index]);
         placed++;
         d->waiting--;
       }
   if (n > 0)
     {
       free (c.workers);
-      free (c.rows);
+      free (c.candidates);
     }
   free (waiting);
 }
--- a/src/workflow/dispatcher_sizes.c
+++ b/src/workflow/dispatcher_sizes.c
@@ -52,7 +52,7 @@
 }
 
 double
-dispatch_size_share (const struct workflow_job *j)
+dispatch_started_ratio (const struct workflow_job *j)
 {
   return size_share_started_ratio (&j->sizes->share, j->size);
 }
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -178,7 +178,7 @@
     w->labels[w->label_count++] = xstrdup (r->labels[i]);
 }
 
-/* Of two worker ids at one address the one that started later is alive.  */
+/* Two worker ids at one address are two starts of one worker: the later one is alive.  */
 static int
 check_address (struct dispatcher *d, const struct worker_report *r, struct status *st)
 {
@@ -202,7 +202,8 @@
                   const struct worker_report *r, struct status *st)
 {
   if (r->born_ms < w->born_ms || (w->gone && r->born_ms == w->born_ms))
-    return status_set (st, STATUS_STALE_INCARNATION, "that life of worker %s is over", r->id);
+    return status_set (st, STATUS_STALE_INCARNATION, "that incarnation of worker %s has ended",
+                       r->id);
   if (r->born_ms > w->born_ms || !w->address)
     return 0;
   if (w->reported && r->sequence <= w->sequence)
@@ -301,9 +302,9 @@
   struct dispatch_run *r;
   TAILQ_FOREACH (r, &w->runs, link)
   {
-    bool late = r->state == DISPATCH_UNCERTAIN && d->now_ms - r->sent_ms < ORDER_MAX_DELAY_MS
-                && !r->inherited;
-    if ((r->state != DISPATCH_RUNNING && r->state != DISPATCH_UNCERTAIN) || late)
+    bool may_still_start = r->state == DISPATCH_UNCERTAIN
+                           && d->now_ms - r->sent_ms < ORDER_MAX_DELAY_MS && !r->inherited;
+    if ((r->state != DISPATCH_RUNNING && r->state != DISPATCH_UNCERTAIN) || may_still_start)
       continue;
     dispatch_propose_end (d, r, WORKFLOW_LAPSED, NULL,
                           "the worker is silent and its lease has expired");
--- a/src/workflow/pacing.c
+++ b/src/workflow/pacing.c
@@ -1,6 +1,6 @@
 #include "pacing.h"
 
-#define QUARTER_TAIL_RATIO 1.5 /* tail / target above which a cut quarters the share */
+#define DEEP_CUT_TAIL_RATIO 1.5 /* tail / target above which a cut quarters the share */
 
 void
 pacing_init (struct pacing *p)
@@ -11,7 +11,7 @@
 static uint32_t
 cut (uint32_t percent, double worst_tail)
 {
-  uint32_t next = worst_tail > QUARTER_TAIL_RATIO ? percent / 4 : percent / 2;
+  uint32_t next = worst_tail > DEEP_CUT_TAIL_RATIO ? percent / 4 : percent / 2;
   return next < PACING_MIN_PERCENT ? 0 : next;
 }
 
--- a/src/workflow/pacing.h
+++ b/src/workflow/pacing.h
@@ -4,10 +4,10 @@
    amount that is unknown in advance and differs by image.  Samples arrive about every half second
    and are half a second old.
 
-   The share is halved when a sample's tail is over PACING_CUT_TAIL_RATIO of its target, at most
-   once per PACING_CUT_INTERVAL_MS so that the effect is seen before the next cut.  It grows by
-   PACING_STEP_PERCENT per PACING_GROW_INTERVAL_MS while all tails are under
-   PACING_GROW_TAIL_RATIO.  */
+   The share is halved when a sample's tail is over PACING_CUT_TAIL_RATIO of its target, quartered
+   over 1.5 times the target, at most once per PACING_CUT_INTERVAL_MS so that the effect is seen
+   before the next cut.  It grows by PACING_STEP_PERCENT per PACING_GROW_INTERVAL_MS while all tails
+   are under PACING_GROW_TAIL_RATIO.  */
 
 #ifndef SASSAFRAS_PACING_H
 #define SASSAFRAS_PACING_H
@@ -16,19 +16,19 @@
 #include <stdint.h>
 
 #define PACING_FULL_PERCENT 100
-#define PACING_CUT_TAIL_RATIO 1.0   /* over target for four seconds counts as a violation */
-#define PACING_GROW_TAIL_RATIO 0.88 /* below it there is capacity for more */
+#define PACING_CUT_TAIL_RATIO 1.0   /* tail / target; over it for four seconds is a violation */
+#define PACING_GROW_TAIL_RATIO 0.88 /* tail / target; below it there is capacity for more */
 /* A cut shows in samples after 100 ms of delay and 500 ms of averaging.  */
 #define PACING_CUT_INTERVAL_MS 700
 #define PACING_GROW_INTERVAL_MS 500
 #define PACING_STEP_PERCENT 15
-#define PACING_MIN_PERCENT 6 /* a cut below it stops the work */
+#define PACING_MIN_PERCENT 6 /* a cut to less sets the share to 0: the work stops */
 
 struct pacing
 {
-  uint32_t percent;   /* current share */
-  int64_t changed_ms; /* time of the last change */
-  double worst_tail;  /* largest tail / target of the last sample; 0 without one */
+  uint32_t percent; /* current share */
+  int64_t changed_ms;
+  double worst_tail; /* largest tail / target of the last sample; 0 without one */
 };
 
 void pacing_init (struct pacing *p); /* Full share. */
--- a/src/workflow/size_share.c
+++ b/src/workflow/size_share.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-#define LARGEST_TENTH_QUANTILE 0.9 /* of work, from which a job is of the largest tenth */
-#define NEXT_FIFTH_QUANTILE 0.7    /* and of the fifth below it */
+#define LARGEST_TENTH_QUANTILE 0.9 /* of recent work; from it on a job is SIZE_LARGEST_TENTH */
+#define NEXT_FIFTH_QUANTILE 0.7    /* from it on a job is SIZE_NEXT_FIFTH */
 
 void
 size_share_init (struct size_share *s, int64_t now_ms)
--- a/src/workflow/slack_model.c
+++ b/src/workflow/slack_model.c
@@ -15,10 +15,10 @@
 #define ALONE_PRIOR 2.0        /* tail at half of the target */
 #define DECAY_PER_FIT 0.97     /* a sample counts for about 2,000 further samples */
 #define SAMPLES_PER_FIT 64
-#define MAX_COEFFICIENT 60.0
-#define MAX_SLACK 6.0    /* of an idle task; higher samples carry no more information */
-#define LOW_QUANTILE 0.1 /* of the slack alone: the peak of the task's own load */
-#define LOW_STEP 0.02
+#define MAX_COEFFICIENT 60.0  /* slack lost per whole worker of fill-in load */
+#define MAX_SLACK 6.0         /* of an idle task; higher samples carry no more information */
+#define LOW_QUANTILE 0.1      /* of the slack alone: the peak of the task's own load */
+#define LOW_STEP 0.02         /* of slack; scales the change of the quantile per sample */
 #define LOSS_LIMIT_FLOOR 0.05 /* some work that hardly interferes may always run */
 
 struct fit
@@ -38,8 +38,8 @@
 
 struct slack_model
 {
-  struct image_table serving;
-  struct image_table fill_image;
+  struct image_table serving_images;
+  struct image_table fill_images;
   struct fit *fits[SLACK_MAX_IMAGES];
 };
 
@@ -83,7 +83,7 @@
 int
 slack_model_serving_id (struct slack_model *m, const char *image)
 {
-  int id = find_or_add_image (&m->serving, image);
+  int id = find_or_add_image (&m->serving_images, image);
   if (!m->fits[id])
     m->fits[id] = new_fit ();
   return id;
@@ -92,7 +92,7 @@
 int
 slack_model_fill_id (struct slack_model *m, const char *image)
 {
-  return find_or_add_image (&m->fill_image, image);
+  return find_or_add_image (&m->fill_images, image);
 }
 
 /* Solves (A + ridge) x = B + ridge x prior by Gauss-Jordan elimination with partial pivoting.  */
@@ -133,16 +133,16 @@
 }
 
 static void
-update_coefficients (struct fit *f, int fill_images)
+update_coefficients (struct fit *f, int fill_image_count)
 {
   int terms[MAX_TERMS];
   double x[MAX_TERMS];
   int n = 0;
-  for (int i = 0; i < fill_images; i++)
+  for (int i = 0; i < fill_image_count; i++)
     terms[n++] = i;
   terms[n++] = ALONE_TERM;
   solve (f, terms, n, x);
-  for (int i = 0; i < fill_images; i++)
+  for (int i = 0; i < fill_image_count; i++)
     f->coefficient[i] = fmin (fmax (-x[i], 0), MAX_COEFFICIENT);
   f->coefficient[ALONE_TERM] = x[ALONE_TERM];
 }
@@ -182,7 +182,7 @@
   if (++f->samples % SAMPLES_PER_FIT != 0)
     return;
   decay (f);
-  update_coefficients (f, m->fill_image.count);
+  update_coefficients (f, m->fill_images.count);
 }
 
 double
--- a/src/workflow/slack_model.h
+++ b/src/workflow/slack_model.h
@@ -12,8 +12,8 @@
    its own least-squares fit with decaying sums.  Ridge regression pulls pairs without samples to
    SLACK_LOSS_PRIOR.
 
-   The interference module isn't used here: its step corrects every coefficient by its part of one
-   sample's error, and here the task's own load causes nearly all of that error.
+   src/scheduler/interference.h isn't used here: its step corrects every coefficient by its part of
+   one sample's error, and here the task's own load causes nearly all of that error.
 
    Method: Hoerl and Kennard, "Ridge regression", 1970.  */
 
--- a/src/workflow/waiting_order.c
+++ b/src/workflow/waiting_order.c
@@ -4,20 +4,20 @@
 waiting_key_of (const struct waiting_facts *f)
 {
   struct waiting_key k = { .priority = f->priority,
-                           .fills = f->fills,
+                           .is_fill = f->is_fill,
                            .started = f->started,
-                           .share = f->share,
+                           .started_ratio = f->started_ratio,
                            .latest_start_ms = f->seen_ms + f->objective_ms - f->remain_ms };
-  if (f->lasts && f->ran && f->now_ms - f->since_ms >= WAITING_RESTART_MS)
+  if (f->is_lasting && f->has_run && f->now_ms - f->since_ms >= WAITING_RESTART_MS)
     k.rank = WAITING_RESTART;
-  else if (f->lasts)
+  else if (f->is_lasting)
     k.rank = WAITING_LASTING;
-  else if (f->now_ms > f->seen_ms + WAITING_LATE_FACTOR * f->objective_ms)
+  else if (f->now_ms > f->seen_ms + WAITING_EXPIRED_FACTOR * f->objective_ms)
     k.rank = WAITING_EXPIRED;
-  else if (f->now_ms > k.latest_start_ms && !(f->fills && f->started))
+  else if (f->now_ms > k.latest_start_ms && !(f->is_fill && f->started))
     k.rank = WAITING_LATE;
   else
-    k.rank = f->fills ? WAITING_FILL : WAITING_SHORT;
+    k.rank = f->is_fill ? WAITING_FILL : WAITING_SHORT;
   return k;
 }
 
@@ -32,8 +32,8 @@
   if (started_first && a->started != b->started)
     return a->started ? -1 : 1;
   bool newest_first = a->rank == WAITING_FILL && !a->started;
-  if (newest_first && a->share != b->share)
-    return a->share < b->share ? -1 : 1;
+  if (newest_first && a->started_ratio != b->started_ratio)
+    return a->started_ratio < b->started_ratio ? -1 : 1;
   if (a->latest_start_ms == b->latest_start_ms)
     return 0;
   return (a->latest_start_ms < b->latest_start_ms) != newest_first ? -1 : 1;
--- a/src/workflow/waiting_order.h
+++ b/src/workflow/waiting_order.h
@@ -2,8 +2,8 @@
 
    Load patterns.  Lasting tasks declare nearly all processors, so the first task in the order gets
    the gaps that short tasks leave.  Value per processor second falls in this order: short tasks in
-   time, lasting tasks, fill-in tasks in time, late tasks.  Jobs that can't earn anything any more
-   go last.
+   time, lasting tasks, fill-in tasks in time, late tasks.  Jobs that have no value any more go
+   last.
 
    A lasting task that lost its worker serves no requests until it restarts.  Behind short tasks,
    which take each gap as it opens, it would wait as long as they keep coming; so it goes first once
@@ -21,7 +21,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define WAITING_LATE_FACTOR 3 /* a job earns nothing after this many objectives (users' rules) */
+#define WAITING_EXPIRED_FACTOR 3 /* a job older than this many objectives has no value */
 /* Capacity for a restart mostly opens earlier; a restart may wait 3 s.  */
 #define WAITING_RESTART_MS 1000
 
@@ -32,7 +32,7 @@
   WAITING_LASTING,
   WAITING_FILL,
   WAITING_LATE,
-  WAITING_EXPIRED, /* can't earn anything any more */
+  WAITING_EXPIRED, /* the job has no value any more */
 };
 
 /* Inputs of the order: a waiting task and its job.  */
@@ -44,20 +44,20 @@
   int64_t remain_ms;    /* critical path from this task's step to the job's end */
   uint32_t priority;    /* of the queue; 0 comes first */
   int64_t since_ms;     /* start of the wait */
-  bool ran;             /* the task has run before */
-  bool lasts;
-  bool fills;
-  bool started; /* a task of the job has started */
-  double share; /* started ratio of the job's size class (size_share) */
+  bool has_run;
+  bool is_lasting;
+  bool is_fill;
+  bool started;         /* a task of the job has started */
+  double started_ratio; /* of the job's size class (size_share) */
 };
 
 struct waiting_key
 {
   enum waiting_rank rank; /* smaller goes first */
   uint32_t priority;
-  bool fills;
+  bool is_fill;
   bool started;
-  double share;
+  double started_ratio;
   int64_t latest_start_ms; /* the job is late when this task starts later */
 };
 
--- a/src/workflow/worker_link.h
+++ b/src/workflow/worker_link.h
@@ -25,12 +25,12 @@
   WORKER_CALL_NO_TICKET,    /* the advice that allows this worker is missing */
   WORKER_CALL_REFUSED,      /* malformed, or the worker is unhealthy */
   WORKER_CALL_OTHER_WORKER, /* another worker id has the address; the intended one is gone */
-  WORKER_CALL_UNKNOWN,      /* no answer: executed, or may be later */
+  WORKER_CALL_UNKNOWN,      /* no answer: may have been executed, or be executed later */
 };
 
 struct worker_address
 {
-  const char *worker;  /* id of the intended incarnation */
+  const char *worker;  /* id of the intended worker */
   const char *address; /* ip:port */
   const char *zone;    /* data centre of the worker */
   uint64_t fence;      /* the worker ignores orders with a lower fence than it has seen */
--- a/src/workflow/worker_select.c
+++ b/src/workflow/worker_select.c
@@ -2,7 +2,7 @@
 
 #include <math.h>
 
-#define INTERFERENCE_WEIGHT 2.0 /* of the loss limit; unused processors weigh at most 1 */
+#define INTERFERENCE_WEIGHT 2.0 /* penalty at the loss limit; an unused worker gains 1 */
 #define FOREIGN_PENALTY 1e5     /* above any gap in millicores */
 #define EMPTY_FOREIGN_SHARE 0.3 /* an empty worker is preferred to one with a higher share */
 /* Workers without lasting tasks are left to fill-in images that slow every serving image.  */
@@ -38,9 +38,9 @@
     return false;
   if (q->max_per_worker > 0 && r->same_step >= q->max_per_worker)
     return false;
-  if (r->reserved && !q->fills && !q->restarts)
+  if (r->reserved && !q->is_fill && !q->is_restart)
     return false;
-  if (!q->fills)
+  if (!q->is_fill)
     return undeclared_millicores (r) >= q->millicores;
   bool undisturbed = r->tail_ratio <= FILL_MAX_TAIL_RATIO && r->interference <= 1;
   return (undisturbed || q->allow_interference)
@@ -51,45 +51,46 @@
 worker_select_score (const struct worker_candidate *r, const struct worker_request *q)
 {
   double penalty = r->near_data ? 0 : REMOTE_DATA_PENALTY;
-  if (q->fills)
+  if (q->is_fill)
     return penalty + INTERFERENCE_WEIGHT * r->interference
            + (r->lasting_millicores == 0 ? EMPTY_WORKER_PENALTY : 0)
            - unused_millicores (r) / r->millicores;
-  if (q->lasts)
+  if (q->is_lasting)
     penalty += FOREIGN_PENALTY * r->foreign_share;
   return penalty + undeclared_millicores (r) - q->millicores;
 }
 
 size_t
-worker_select_reserve (const struct worker_candidate *rows, size_t count,
+worker_select_reserve (const struct worker_candidate *candidates, size_t count,
                        const struct worker_request *q)
 {
   size_t best = WORKER_SELECT_NONE;
   for (size_t i = 0; i < count; i++)
     {
-      const struct worker_candidate *r = &rows[i];
-      bool room = r->lasting_millicores + q->millicores <= r->millicores
-                  && r->free_memory_mb >= q->memory_mb && r->free_accelerators >= q->accelerators;
+      const struct worker_candidate *r = &candidates[i];
+      bool has_capacity = r->lasting_millicores + q->millicores <= r->millicores
+                          && r->free_memory_mb >= q->memory_mb
+                          && r->free_accelerators >= q->accelerators;
       bool allowed = q->max_per_worker == 0 || r->same_step < q->max_per_worker;
-      if (!r->usable || r->reserved || !room || !allowed)
+      if (!r->usable || r->reserved || !has_capacity || !allowed)
         continue;
-      if (best == WORKER_SELECT_NONE || r->short_millicores < rows[best].short_millicores)
+      if (best == WORKER_SELECT_NONE || r->short_millicores < candidates[best].short_millicores)
         best = i;
     }
   return best;
 }
 
 size_t
-worker_select_best (const struct worker_candidate *rows, size_t count,
+worker_select_best (const struct worker_candidate *candidates, size_t count,
                     const struct worker_request *q)
 {
   size_t best = WORKER_SELECT_NONE;
   double best_score = INFINITY;
   for (size_t i = 0; i < count; i++)
     {
-      if (!worker_select_fits (&rows[i], q))
+      if (!worker_select_fits (&candidates[i], q))
         continue;
-      double score = worker_select_score (&rows[i], q);
+      double score = worker_select_score (&candidates[i], q);
       if (score < best_score)
         {
           best = i;
--- a/src/workflow/worker_select.h
+++ b/src/workflow/worker_select.h
@@ -45,9 +45,9 @@
   uint32_t memory_mb;
   uint32_t accelerators;
   uint32_t max_per_worker; /* 0 is no limit */
-  bool fills;
-  bool lasts;
-  bool restarts; /* a lasting task that waits for reserved capacity */
+  bool is_fill;
+  bool is_lasting;
+  bool is_restart; /* a lasting task that waits for reserved capacity */
   /* For a fill-in task that waited long while most of the pool is free; pacing limits the
      slowdown.  */
   bool allow_interference;
@@ -58,13 +58,13 @@
 bool worker_select_fits (const struct worker_candidate *r, const struct worker_request *q);
 /* Lower is better.  */
 double worker_select_score (const struct worker_candidate *r, const struct worker_request *q);
-/* Row of the worker to keep free of short tasks until Q, which fits nowhere, fits there, or
-   WORKER_SELECT_NONE: has room beside its lasting tasks, and the fewest short ones.  Without it the
-   next short task takes every gap that one leaves, and a larger task never finds one.  */
-size_t worker_select_reserve (const struct worker_candidate *rows, size_t count,
+/* Index of the worker to reserve for Q, which fits on no worker now: with enough capacity beside
+   its lasting tasks and the fewest short millicores; or WORKER_SELECT_NONE.  Without a reservation
+   each gap that a short task leaves goes to the next short task, and a larger task never starts. */
+size_t worker_select_reserve (const struct worker_candidate *candidates, size_t count,
                               const struct worker_request *q);
-/* Row with the best score, or WORKER_SELECT_NONE.  */
-size_t worker_select_best (const struct worker_candidate *rows, size_t count,
+/* Index of the candidate with the best score, or WORKER_SELECT_NONE.  */
+size_t worker_select_best (const struct worker_candidate *candidates, size_t count,
                            const struct worker_request *q);
 
 #endif
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -535,7 +535,7 @@
 #define TEST(name) cmocka_unit_test_setup_teardown (name, fixture_open, fixture_close)
 
 #define MANY_WORKERS 350
-/* Holds that the leader of the grown deployments can send beside its starts.  */
+/* Holds that a leader with 0.4 of a processor can send beside its starts.  */
 #define MAX_HOLDS_PER_S 2000
 
 /* With several ends a second on each of many workers, every hold is answered at once: the holds
--- a/tests/test_pacing.c
+++ b/tests/test_pacing.c
@@ -58,7 +58,7 @@
 }
 
 static void
-test_harmless_work_is_not_held_back (void **state)
+test_work_that_does_not_interfere_is_not_paced (void **state)
 {
   int64_t longest_ms;
   double share;
@@ -84,8 +84,9 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_slowdown_ends_in_time),
-                                      cmocka_unit_test (test_harmless_work_is_not_held_back),
-                                      cmocka_unit_test (test_share_recovers_after_interference) };
+  const struct CMUnitTest tests[]
+      = { cmocka_unit_test (test_slowdown_ends_in_time),
+          cmocka_unit_test (test_work_that_does_not_interfere_is_not_paced),
+          cmocka_unit_test (test_share_recovers_after_interference) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_slack_model.c
+++ b/tests/test_slack_model.c
@@ -1,6 +1,6 @@
 /* Guards against placing fill-in tasks on workers whose lasting tasks they slow down.  The
-   simulation has five serving and nine fill-in images, strong interference in about four of ten
-   pairs, loads that vary by half, and samples in whole milliseconds.  */
+   simulation has the shape of a simulated day: five serving and nine fill-in images, strong
+   interference in four of ten pairs, loads that vary by half, samples in whole milliseconds.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -19,15 +19,15 @@
 #define WORKERS 48
 #define TARGET_MS 18.0
 #define BASE_MS 4.0
-#define HARMFUL 1.2
-#define HARMLESS 0.08
+#define STRONG_INTERFERENCE 1.2 /* load added per unit of share */
+#define WEAK_INTERFERENCE 0.08
 #define SECONDS 30
 
 struct simulation
 {
   struct rng rng;
   struct slack_model *model;
-  bool harmful[SERVING][FILLING];
+  bool interferes[SERVING][FILLING];
   double phase[WORKERS];
   int fill_of[WORKERS][4];
   double share_of[WORKERS][4];
@@ -40,7 +40,8 @@
   double sum = 0;
   for (int i = 0; i < r->fills[worker]; i++)
     sum += r->share_of[worker][i]
-           * (r->harmful[worker % SERVING][r->fill_of[worker][i]] ? HARMFUL : HARMLESS);
+           * (r->interferes[worker % SERVING][r->fill_of[worker][i]] ? STRONG_INTERFERENCE
+                                                                     : WEAK_INTERFERENCE);
   return sum;
 }
 
@@ -113,7 +114,7 @@
   rng_init (&r->rng, seed);
   for (int s = 0; s < SERVING; s++)
     for (int f = 0; f < FILLING; f++)
-      r->harmful[s][f] = rng_chance (&r->rng, 0.4);
+      r->interferes[s][f] = rng_chance (&r->rng, 0.4);
   for (int w = 0; w < WORKERS; w++)
     r->phase[w] = rng_unit (&r->rng) * 2 * M_PI;
   *over = 0;
@@ -130,7 +131,7 @@
 /* Requirement: lasting tasks are over their target less than a twentieth of the time, with at least
    half of the work that placement without the model does.  */
 static void
-test_harmful_pairs_are_kept_apart (void **state)
+test_interfering_pairs_are_kept_apart (void **state)
 {
   static struct simulation r;
   (void)state;
@@ -153,7 +154,7 @@
 }
 
 static void
-test_coefficients_tell_harmful_from_harmless (void **state)
+test_coefficients_tell_strong_from_weak_interference (void **state)
 {
   static struct simulation r;
   double over;
@@ -168,7 +169,8 @@
         int serving = slack_model_serving_id (r.model, name);
         snprintf (name, sizeof name, "fill-%d", f);
         double c = slack_model_coefficient (r.model, serving, slack_model_fill_id (r.model, name));
-        double real = (r.harmful[s][f] ? HARMFUL : HARMLESS) * TARGET_MS / BASE_MS;
+        double real
+            = (r.interferes[s][f] ? STRONG_INTERFERENCE : WEAK_INTERFERENCE) * TARGET_MS / BASE_MS;
         assert_true (fabs (c - real) < 2.2);
       }
   slack_model_free (r.model);
@@ -178,7 +180,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_harmful_pairs_are_kept_apart),
-          cmocka_unit_test (test_coefficients_tell_harmful_from_harmless) };
+      = { cmocka_unit_test (test_interfering_pairs_are_kept_apart),
+          cmocka_unit_test (test_coefficients_tell_strong_from_weak_interference) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_waiting_order.c
+++ b/tests/test_waiting_order.c
@@ -20,7 +20,7 @@
 #define MAX_WIDTH 32
 #define STEPS 2
 
-/* A job of two steps of 8 tasks of 2.7 s on average, as in days with most fill-in work.  */
+/* Two steps of 8 tasks of 2.7 s on average, as in simulated days with the most fill-in work.  */
 struct job
 {
   int64_t arrived_ms;
@@ -104,13 +104,14 @@
       struct job *j = &sim->jobs[i];
       if (j->ended_ms > 0 || j->placed == j->width)
         continue;
-      const struct waiting_facts f = { .now_ms = now_ms,
-                                       .seen_ms = j->arrived_ms,
-                                       .objective_ms = objective (j),
-                                       .remain_ms = (STEPS - j->step) * j->work_ms,
-                                       .fills = true,
-                                       .started = j->placed > 0 || j->step > 0,
-                                       .share = size_share_started_ratio (&sim->sizes, j->size) };
+      const struct waiting_facts f
+          = { .now_ms = now_ms,
+              .seen_ms = j->arrived_ms,
+              .objective_ms = objective (j),
+              .remain_ms = (STEPS - j->step) * j->work_ms,
+              .is_fill = true,
+              .started = j->placed > 0 || j->step > 0,
+              .started_ratio = size_share_started_ratio (&sim->sizes, j->size) };
       out[n++] = (struct waiting){ .job = j, .key = waiting_key_of (&f) };
     }
   return n;
@@ -164,18 +165,18 @@
     }
 }
 
-/* Share of the jobs of LEAST tasks or more a step that ended in time, or before expiry.  */
+/* Ratio of jobs at least MIN_WIDTH wide that ended in time (IN_TIME) or before they expired.  */
 static double
-share (const struct simulation *sim, int least, bool in_time)
+share (const struct simulation *sim, int min_width, bool in_time)
 {
   int all = 0;
   int served = 0;
   for (int i = 0; i < sim->count; i++)
     {
       const struct job *j = &sim->jobs[i];
-      if (j->arrived_ms >= COUNTED_MS || j->width < least)
+      if (j->arrived_ms >= COUNTED_MS || j->width < min_width)
         continue;
-      int64_t limit_ms = objective (j) * (in_time ? 1 : WAITING_LATE_FACTOR);
+      int64_t limit_ms = objective (j) * (in_time ? 1 : WAITING_EXPIRED_FACTOR);
       all++;
       served += j->ended_ms > 0 && j->ended_ms - j->arrived_ms <= limit_ms;
     }
