--- a/src/cell/cell.h
+++ b/src/cell/cell.h
@@ -18,11 +18,11 @@
    epoch of the former owner.
 
    Hand-off.  The sender commits HANDOFF_OFFER and sends the task (cell_make_transfer) until it gets
-   an answer.  The receiver proposes HANDOFF_ACCEPT or HANDOFF_REFUSE.  ACCEPT with STATUS_OK: the
-   sender proposes HANDOFF_DONE.  REFUSE with STATUS_OK, or ACCEPT with STATUS_OVERLOADED (refused
-   earlier at this epoch): HANDOFF_ABORT.  Both carry the task_epoch of the transfer.  Any other
-   status: the sender retries.  If two cells claim a task after an epoch was closed, the one whose
-   copy has started keeps it.
+   an answer.  The receiver proposes HANDOFF_ACCEPT or HANDOFF_REFUSE.  ACCEPT with STATUS_OK, or
+   REFUSE with STATUS_VERSION_CONFLICT (already accepted): the sender proposes HANDOFF_DONE.  REFUSE
+   with STATUS_OK, or ACCEPT with STATUS_OVERLOADED (refused at this epoch): HANDOFF_ABORT.  Both
+   carry the task_epoch of the transfer.  Any other status: the sender retries.  If two cells claim
+   a task after an epoch was closed, the one whose copy has started keeps it.
 
    Standby.  The owner commits STANDBY_SENT before it first sends STANDBY_PUT, and repeats the
    latter as checkpoints advance.  STANDBY_START is idempotent.  An owner that returns proposes
@@ -81,10 +81,10 @@
   uint32_t failures;
   uint32_t evictions;
   char failed_on[CELL_FAILED_WORKERS][CELL_NAME_BYTES + 1]; /* distinct workers, oldest first */
-  uint64_t other_cell;  /* receiver of an offer, or holder or owner of a standby copy */
+  uint64_t other_cell;  /* OFFERED: receiver; STANDBY: owner; else cell of the standby copy or 0 */
   uint64_t other_epoch; /* epoch of the owner's cell */
   uint64_t replaces;    /* task of another cell that this replica replaces, 0 if none */
-  void *observer_data;  /* the observer's own record */
+  void *observer_data;
 };
 
 STAILQ_HEAD (cell_task_list, cell_task);
@@ -104,7 +104,7 @@
   uint32_t open_tasks; /* unfinished tasks */
   char *reason;        /* failure reason, NULL if not failed */
   struct cell_task_list tasks;
-  void *observer_data; /* the observer's own record */
+  void *observer_data;
 };
 
 TAILQ_HEAD (cell_job_list, cell_job);
@@ -132,7 +132,7 @@
   struct cell_map_node node; /* in cell.handoffs, by task */
   TAILQ_ENTRY (cell_handoff) link;
   uint64_t task;
-  uint64_t epoch; /* of the sender */
+  uint64_t epoch; /* task epoch of the answered transfer */
   bool accepted;
   uint64_t local_task;
   int64_t at_ms;
@@ -157,8 +157,8 @@
   uint64_t number;        /* of this cell, from 1 */
   uint64_t epoch;         /* cell epoch, increased when the registry closes one */
   uint64_t next_id;
-  int64_t now_ms; /* log time of the last applied entry */
-  int64_t time_base_ms;
+  int64_t now_ms;       /* log time of the last applied entry */
+  int64_t time_base_ms; /* log time minus the leader's monotonic clock */
   struct cell_map tasks;
   struct cell_map jobs;
   struct cell_map requests;
--- a/src/cell/cell_handoff.c
+++ b/src/cell/cell_handoff.c
@@ -139,7 +139,7 @@
   return t->epoch >= a->task_epoch || t->state == CELL_DONE || t->state == CELL_FAILED;
 }
 
-/* True if the standby copy here is newer than the offer, which was settled before the copy.  */
+/* True if the standby copy here has a newer epoch: the offer was already settled.  */
 static bool
 stale_offer (const struct cell_task *t, const cell_transfer *a)
 {
@@ -186,8 +186,8 @@
 {
   const struct cell_handoff *h = cell_find_handoff (c, a->task);
   struct cell_task *t = cell_find_task (c, a->task);
-  bool taken = h && h->accepted && h->epoch >= a->task_epoch;
-  if (taken || already_owned (t, a))
+  bool accepted = h && h->accepted && h->epoch >= a->task_epoch;
+  if (accepted || already_owned (t, a))
     {
       cell_set_error (r, STATUS_VERSION_CONFLICT, "the task was already accepted");
       return;
@@ -389,7 +389,7 @@
 /* A task with a standby copy may have been started in the copy's cell: stops it and offers it to
    that cell, whose answer determines the owner.  */
 static void
-release_covered_task (struct cell *c, struct cell_task *t)
+release_task_with_standby (struct cell *c, struct cell_task *t)
 {
   if (t->other_cell == 0 || !t->job->spec.repeat_elsewhere)
     return;
@@ -424,6 +424,6 @@
       next = TAILQ_NEXT (j, link);
       STAILQ_FOREACH (t, &j->tasks, link)
       if (t->state != CELL_STANDBY)
-        release_covered_task (c, t);
+        release_task_with_standby (c, t);
     }
 }
--- a/src/cell/cell_internal.h
+++ b/src/cell/cell_internal.h
@@ -11,17 +11,18 @@
 #define CELL_STANDBY_EPOCH_BASE (1ULL << 32)
 
 /* Jobs and tasks.  */
-struct cell_job *cell_new_job (struct cell *c, uint64_t id, cell_job_spec *spec,
-                               int64_t deadline_left_ms); /* Owns the strings of SPEC. */
+struct cell_job *
+cell_new_job (struct cell *c, uint64_t id, cell_job_spec *spec,
+              int64_t deadline_left_ms); /* Takes over the strings of SPEC and zeroes it. */
 struct cell_task *cell_new_task (struct cell *c, struct cell_job *j, uint64_t id, uint32_t index,
                                  enum cell_task_state state);
 void cell_set_state (struct cell *c, struct cell_task *t,
                      enum cell_task_state state); /* Also finishes or reopens the job. */
 void cell_set_checkpoint (struct cell_task *t, const char *checkpoint,
                           uint64_t progress_ms); /* Ignored if its progress is older. */
-void cell_notify_changed (struct cell *c, struct cell_task *t); /* Notifies the observer. */
+void cell_notify_changed (struct cell *c, struct cell_task *t);
 void cell_expire_finished_jobs (struct cell *c); /* Frees jobs over the age or count limit. */
-void cell_free_all (struct cell *c);             /* Frees all records. */
+void cell_free_all (struct cell *c);
 uint64_t cell_next_epoch (const struct cell *c, uint64_t epoch);
 uint64_t cell_allocate_id (struct cell *c);
 void cell_end_run (struct cell *c, struct cell_task *t); /* The run on the worker has ended. */
--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -12,7 +12,7 @@
 #include "propose_command.h"
 
 #define CONFIRM_INTERVAL_MS 800    /* between quorum rounds while this VM leads and has workers */
-#define CONFIRMATION_VALID_MS 1100 /* after a round starts: no other leader is elected */
+#define CONFIRMATION_VALID_MS 1100 /* from a round's start; no other leader is elected in it */
 #define UNCONFIRMED_EXTRA_HOLD_MS 1000 /* extra hold of polls without confirmed leadership */
 #define PERMIT_TIMEOUT_MS 1000
 #define EPOCH_CLOSE_RETRY_MS 500
@@ -42,10 +42,10 @@
   int64_t next_round_ms;
   bool closing_epoch;
   int64_t next_close_ms;
-  bool stopped_in_flight;
-  int64_t starts_valid_until_ms; /* start commands sent before the data centre went out */
+  bool out_ack_in_flight;
+  int64_t starts_valid_until_ms; /* end of start commands sent before the data centre was out */
   uint64_t stopped_version;      /* acknowledged state version */
-  bool transferring;
+  bool leadership_transfer_in_flight;
   struct member_sync members;
   struct held_polls polls;
 };
@@ -282,10 +282,10 @@
 gain_leadership (struct cell_service *s, int64_t now_ms)
 {
   s->leading = true;
-  s->transferring = false;
+  s->leadership_transfer_in_flight = false;
   scheduler_set_leader (s->scheduler, now_ms, true);
   cell_transfers_set_leader (s->transfers, true);
-  log_line (LOG_INFO, "cell %s: this VM is leader in term %llu", s->config.data_centre,
+  log_line (LOG_INFO, "cell %s: this VM leads in term %llu", s->config.data_centre,
             (unsigned long long)group_term (s->group));
 }
 
@@ -300,7 +300,7 @@
     return;
   if (!s->leading)
     gain_leadership (s, clock_now_ms (s->config.clock));
-  if (!s->transferring)
+  if (!s->leadership_transfer_in_flight)
     {
       s->confirmed_until_ms = s->round_started_ms + CONFIRMATION_VALID_MS;
       scheduler_confirm_leadership (s->scheduler, s->confirmed_until_ms);
@@ -419,7 +419,7 @@
 acknowledge_out (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
   struct status st;
-  if (s->stopped_in_flight || dc->stopped_version == dc->state_version
+  if (s->out_ack_in_flight || dc->stopped_version == dc->state_version
       || start_outstanding (s, now_ms))
     return;
   registry_command command = { .request_id = (char *)"" };
@@ -427,14 +427,14 @@
   command.body.registry_body_u.stopped.data_centre = dc->name;
   command.body.registry_body_u.stopped.out_version = dc->state_version;
   command.body.registry_body_u.stopped.node = s->config.node;
-  s->stopped_in_flight = true;
+  s->out_ack_in_flight = true;
   if (propose_registry_command (s->config.proposer, &command, propose_clear_flag,
-                                &s->stopped_in_flight, &st)
+                                &s->out_ack_in_flight, &st)
       < 0)
-    s->stopped_in_flight = false;
+    s->out_ack_in_flight = false;
 }
 
-/* Applies a closing of this cell's epoch by the registry, e.g. while the data centre was down.  */
+/* Applies a closing of this cell's epoch, e.g. while its data centre was unreachable.  */
 static void
 sync_cell_epoch (struct cell_service *s, const registry_data_centre *dc, int64_t now_ms)
 {
@@ -470,12 +470,13 @@
   sync_cell_epoch (s, dc, now_ms);
 }
 
-/* Leaders should run in the data centre they schedule: a remote one transfers to a local voter.  */
+/* A leader outside the data centre it schedules transfers the leadership to a local voter.  */
 static void
-transfer_to_local_voter (struct cell_service *s)
+transfer_leadership_to_local_voter (struct cell_service *s)
 {
   const registry_member *self = registry_find_node (s->config.registry, s->config.node);
-  if (s->transferring || !self || strcmp (self->data_centre, s->config.data_centre) == 0)
+  if (s->leadership_transfer_in_flight || !self
+      || strcmp (self->data_centre, s->config.data_centre) == 0)
     return;
   const raft_members *m = group_members (s->group);
   for (u_int i = 0; i < m->members.members_len; i++)
@@ -488,7 +489,7 @@
         continue;
       if (group_transfer (s->group, node, &st) == 0)
         {
-          s->transferring = true;
+          s->leadership_transfer_in_flight = true;
           return;
         }
     }
@@ -541,7 +542,7 @@
   cell_transfers_tick (s->transfers, now_ms);
   answer_due_polls (s, now_ms);
   reconcile_members (s, now_ms);
-  transfer_to_local_voter (s);
+  transfer_leadership_to_local_voter (s);
 }
 
 void
--- a/src/cell/cell_transfers.c
+++ b/src/cell/cell_transfers.c
@@ -8,8 +8,8 @@
 #include "propose_command.h"
 
 #define SCAN_INTERVAL_MS 250
-#define RETRY_MS 1000           /* before a step without outcome is retried */
-#define MAX_STEPS_IN_FLIGHT 64  /* concurrent steps */
+#define RETRY_MS 1000 /* before a step without outcome is retried */
+#define MAX_STEPS_IN_FLIGHT 64
 #define STEP_RECORD_MARGIN 1024 /* records kept in addition to two per task */
 
 enum step_kind
@@ -32,9 +32,9 @@
   uint64_t task;
   uint64_t epoch;
   uint64_t progress_ms;
-  uint64_t cell;  /* the other cell */
-  bool in_flight; /* in flight */
-  bool done;      /* succeeded for this epoch and progress */
+  uint64_t cell; /* the other cell */
+  bool in_flight;
+  bool done; /* succeeded for this epoch and progress */
   int64_t next_ms;
 };
 
--- a/src/cell/held_polls.h
+++ b/src/cell/held_polls.h
@@ -37,7 +37,7 @@
 void held_polls_init (struct held_polls *h);  /* Empty. */
 void held_polls_close (struct held_polls *h); /* Frees all polls unanswered. */
 void held_polls_add (struct held_polls *h,
-                     const struct held_poll *poll); /* Add in until_ms order. */
+                     const struct held_poll *poll); /* UNTIL_MS must not decrease. */
 bool held_polls_take (struct held_polls *h, const char *worker,
                       struct held_poll *out); /* False if this worker has none. */
 bool held_polls_take_due (struct held_polls *h, int64_t now_ms,
--- a/src/gen/cell_proto.x
+++ b/src/gen/cell_proto.x
@@ -43,7 +43,7 @@
   CELL_STOP_CANCEL = 6,    /* the job was cancelled; the stop ends the task */
   CELL_STOP_REPLACED = 7,  /* a replacement replica runs elsewhere; the stop ends the task */
   CELL_STOP_WORKER = 8,    /* the worker is quarantined */
-  CELL_STOP_CLOSED = 9     /* the cell epoch was closed; a standby copy owns the task */
+  CELL_STOP_CLOSED = 9     /* the cell epoch was closed; a standby copy may have been started */
 };
 
 struct cell_size
@@ -101,9 +101,9 @@
   CELL_HANDOFF_ABORT = 12,    /* sender: the receiver has committed its refusal */
   CELL_REPLICA_ADD = 13,      /* receiver: creates a replacement of another cell's replica */
   CELL_REPLICA_REPLACED = 14, /* sender: the replacement runs; stop the old replica */
-  CELL_STANDBY_PUT = 15,      /* second cell: stores a standby copy or its newer checkpoint */
-  CELL_STANDBY_START = 16,    /* second cell: takes over all copies of a closed cell epoch */
-  CELL_STANDBY_DROP = 17,     /* second cell: the owner finished or cancelled the job */
+  CELL_STANDBY_PUT = 15,      /* standby cell: stores a standby copy or its newer checkpoint */
+  CELL_STANDBY_START = 16,    /* standby cell: takes over all copies of a closed cell epoch */
+  CELL_STANDBY_DROP = 17,     /* standby cell: the owner finished or cancelled the job */
   CELL_EPOCH_CLOSED = 18,     /* owner: the registry closed this cell's epoch */
   CELL_INTENT_BEGIN = 19,
   CELL_INTENT_FINISH = 20,
@@ -304,7 +304,7 @@
   unsigned int failures;
   unsigned int evictions;
   cell_name failed_on<CELL_FAILED_WORKERS>;
-  unsigned hyper other_cell;   /* receiver of an offer or owner of a standby copy */
+  unsigned hyper other_cell;   /* OFFERED: receiver; STANDBY: owner; else cell of the copy or 0 */
   unsigned hyper other_epoch;  /* epoch of the owner's cell */
   unsigned hyper replaces;     /* task of another cell that this replica replaces */
 };
--- a/src/registry/permit.c
+++ b/src/registry/permit.c
@@ -77,13 +77,13 @@
 }
 
 void
-permit_granter_confirm (struct permit_granter *g, int64_t began_ms)
+permit_granter_confirm (struct permit_granter *g, int64_t started_ms)
 {
   /* A round of an earlier leadership of this VM does not rule out other leaders in between.  */
-  if (!g->leading || began_ms < g->elected_ms || (g->confirmed && began_ms <= g->confirmed_ms))
+  if (!g->leading || started_ms < g->elected_ms || (g->confirmed && started_ms <= g->confirmed_ms))
     return;
   g->confirmed = true;
-  g->confirmed_ms = began_ms;
+  g->confirmed_ms = started_ms;
 }
 
 static void
@@ -221,10 +221,10 @@
 }
 
 static void
-apply_grant (struct permit_holder *h, int64_t asked, const struct permit *p)
+apply_grant (struct permit_holder *h, int64_t requested_ms, const struct permit *p)
 {
   int64_t life_ms = p->life_ms < PERMIT_LIFE_MS ? (int64_t)p->life_ms : PERMIT_LIFE_MS;
-  int64_t until = asked + life_ms - PERMIT_DRIFT_MS;
+  int64_t until = requested_ms + life_ms - PERMIT_DRIFT_MS;
   if (p->epoch < h->epoch)
     return;
   if (p->epoch > h->epoch || until > h->valid_until_ms)
@@ -233,13 +233,13 @@
 }
 
 void
-permit_holder_handle_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
+permit_holder_handle_answer (struct permit_holder *h, int64_t requested_ms, const struct permit *p,
                              int64_t now_ms)
 {
-  if (asked > h->requested_ms || asked <= h->ignored_until_ms)
+  if (requested_ms > h->requested_ms || requested_ms <= h->ignored_until_ms)
     return;
   if (p->granted)
-    apply_grant (h, asked, p);
+    apply_grant (h, requested_ms, p);
   else if (h->next_request_ms > now_ms + PERMIT_RETRY_MS)
     h->next_request_ms = now_ms + PERMIT_RETRY_MS;
 }
--- a/src/registry/permit.h
+++ b/src/registry/permit.h
@@ -47,10 +47,11 @@
 void permit_granter_free (struct permit_granter *g); /* G may be NULL. */
 void permit_granter_become_leader (struct permit_granter *g,
                                    int64_t now_ms); /* Earlier permits may be valid for 3 s more. */
-void permit_granter_step_down (struct permit_granter *g);     /* Stops granting. */
-bool permit_granter_leading (const struct permit_granter *g); /* True until it steps down. */
+void permit_granter_step_down (struct permit_granter *g); /* Stops granting. */
+bool
+permit_granter_leading (const struct permit_granter *g); /* Between become_leader and step_down. */
 void permit_granter_confirm (struct permit_granter *g,
-                             int64_t began_ms); /* A quorum answered the round started then. */
+                             int64_t started_ms); /* A quorum answered the round started then. */
 struct permit permit_granter_request (struct permit_granter *g, const registry_data_centre *dc,
                                       uint64_t node, int64_t now_ms); /* Refused if DC is NULL. */
 struct permit_in_force permit_granter_in_force (const struct permit_granter *g,
@@ -59,8 +60,8 @@
 bool
 permit_granter_next_in_force (const struct permit_granter *g, const registry_data_centre *list,
                               size_t count, int64_t now_ms,
-                              registry_in_force *out); /* An out command to be recorded as in force;
-                                                          OUT borrows the name from LIST. */
+                              registry_in_force *out); /* An out command in force that is not yet
+                                                          recorded so; OUT borrows its name. */
 
 /* The holder: the leader of a cell.  */
 struct permit_holder
@@ -75,9 +76,10 @@
 void permit_holder_init (struct permit_holder *h); /* Holds no permit; a request is due. */
 bool permit_holder_due (const struct permit_holder *h, int64_t now_ms); /* A request is due. */
 int64_t permit_holder_request (struct permit_holder *h,
-                               int64_t now_ms); /* Records it; returns the token to send. */
-void permit_holder_handle_answer (struct permit_holder *h, int64_t asked, const struct permit *p,
-                                  int64_t now_ms); /* ASKED is the echoed token. */
+                               int64_t now_ms); /* Records it; returns its time, to be sent. */
+void permit_holder_handle_answer (struct permit_holder *h, int64_t requested_ms,
+                                  const struct permit *p,
+                                  int64_t now_ms); /* REQUESTED_MS as echoed. */
 void permit_holder_release (struct permit_holder *h,
                             int64_t now_ms); /* On data centre out or leadership loss. */
 int64_t permit_holder_left_ms (const struct permit_holder *h,
--- a/src/registry/plans_parse.c
+++ b/src/registry/plans_parse.c
@@ -185,7 +185,7 @@
   json_check_leave (c);
 }
 
-/* KNOWN is false when the list of plans could not be read; plan names are not judged then.  */
+/* PLANS_KNOWN is false if the list of plans could not be read; plan names are not checked then.  */
 static void
 read_customer (struct json_check *c, const json_t *item, struct plans *p, bool plans_known)
 {
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -86,11 +86,11 @@
 static const registry_answer *
 find_answer (const struct answer_ring *ring, const char *request_id)
 {
-  uint64_t id = XXH3_64bits (request_id, strlen (request_id));
+  uint64_t hash = XXH3_64bits (request_id, strlen (request_id));
   for (size_t i = 0; i < ring->count; i++)
     {
       size_t at = (ring->first + i) % REGISTRY_MAX_ANSWERS;
-      if (ring->ids[at] == id && strcmp (ring->items[at].request_id, request_id) == 0)
+      if (ring->id_hashes[at] == hash && strcmp (ring->items[at].request_id, request_id) == 0)
         return &ring->items[at];
     }
   return NULL;
@@ -109,7 +109,7 @@
   else
     ring->count++;
   ring->items[at] = *answer;
-  ring->ids[at] = XXH3_64bits (answer->request_id, strlen (answer->request_id));
+  ring->id_hashes[at] = XXH3_64bits (answer->request_id, strlen (answer->request_id));
 }
 
 static void
@@ -121,7 +121,7 @@
   ring->count = 0;
 }
 
-/* Identifies the command of a request id: hash without the time, which differs between repeats.  */
+/* Hash of the command without its time; tells a repeat from a reused request id.  */
 static uint64_t
 command_digest (const void *command, size_t len)
 {
--- a/src/registry/registry_commands.c
+++ b/src/registry/registry_commands.c
@@ -121,7 +121,8 @@
   return REGISTRY_CHANGED_DATA_CENTRES;
 }
 
-/* Returns the data centre if the out command of VERSION is its current state, otherwise NULL.  */
+/* Returns the data centre if the out command of VERSION is its current state.  Otherwise NULL: a
+   command about an earlier out command must have no effect.  */
 static registry_data_centre *
 out_at_version (struct registry *r, const char *name, uint64_t version, registry_result *result)
 {
--- a/src/registry/registry_state.h
+++ b/src/registry/registry_state.h
@@ -9,8 +9,8 @@
 struct answer_ring
 {
   registry_answer items[REGISTRY_MAX_ANSWERS];
-  uint64_t ids[REGISTRY_MAX_ANSWERS]; /* xxhash of the request id, compared before the strings */
-  size_t first;                       /* oldest */
+  uint64_t id_hashes[REGISTRY_MAX_ANSWERS]; /* of the request ids (xxHash), compared first */
+  size_t first;                             /* oldest */
   size_t count;
 };
 
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -270,7 +270,7 @@
 
 /* scheduler_task.c */
 void sched_sync_task (struct scheduler *s, struct cell_task *t); /* Applies a change of the log. */
-void sched_drop_task (struct scheduler *s, struct cell_task *t); /* Frees the soft record. */
+void sched_drop_task (struct scheduler *s, struct cell_task *t); /* Frees its scheduler record. */
 void sched_enqueue (struct scheduler *s, struct sched_task *st);
 void sched_allocate (struct scheduler *s, struct sched_task *st, struct sched_worker *w);
 void sched_release (struct scheduler *s, struct sched_task *st);
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -199,7 +199,7 @@
   const struct sched_task *st = t->observer_data;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
   if (open != (st != NULL))
-    sched_invariant_failed ("an open task has no soft record, or a closed one has one");
+    sched_invariant_failed ("an open task has no scheduler record, or a closed one has one");
   if (!st)
     return;
   if (cell_task_on_worker (t) && (!st->worker || st->allocated_epoch != t->epoch))
--- a/tests/test_cell.c
+++ b/tests/test_cell.c
@@ -394,7 +394,7 @@
 }
 
 static void
-test_damaged_entries_change_nothing (void **state)
+test_corrupted_entries_change_nothing (void **state)
 {
   (void)state;
   struct cell c;
@@ -429,7 +429,7 @@
     cmocka_unit_test (test_intents_are_final),
     cmocka_unit_test (test_intent_attempts_are_fenced),
     cmocka_unit_test (test_snapshot_round_trip),
-    cmocka_unit_test (test_damaged_entries_change_nothing),
+    cmocka_unit_test (test_corrupted_entries_change_nothing),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_permit.c
+++ b/tests/test_permit.c
@@ -16,6 +16,7 @@
 #define HOLDERS 2
 #define MAX_MESSAGES 64
 #define STEPS 4000
+#define MIN_HITS (SEEDS * STEPS / 10)
 #define SEEDS 300
 
 static registry_data_centre
@@ -169,128 +170,136 @@
 };
 
 static void
-send_message (struct sim *w, struct message m)
+send_message (struct sim *sim, struct message m)
 {
   m.used = true;
-  m.arrives_ms = w->now + (int64_t)rng_below (&w->rng, rng_chance (&w->rng, 0.1) ? 4000 : 60);
+  m.arrives_ms = sim->now + (int64_t)rng_below (&sim->rng, rng_chance (&sim->rng, 0.1) ? 4000 : 60);
   for (int i = 0; i < MAX_MESSAGES; i++)
-    if (!w->in_flight[i].used)
+    if (!sim->in_flight[i].used)
       {
-        w->in_flight[i] = m;
+        sim->in_flight[i] = m;
         return;
       }
 }
 
 static void
-deliver_messages (struct sim *w)
+deliver_messages (struct sim *sim)
 {
   for (int i = 0; i < MAX_MESSAGES; i++)
     {
-      struct message m = w->in_flight[i];
-      if (!m.used || m.arrives_ms > w->now)
+      struct message m = sim->in_flight[i];
+      if (!m.used || m.arrives_ms > sim->now)
         continue;
-      w->in_flight[i].used = false;
+      sim->in_flight[i].used = false;
       if (m.answer)
-        permit_holder_handle_answer (&w->holders[m.holder], m.asked, &m.permit, w->now);
+        permit_holder_handle_answer (&sim->holders[m.holder], m.asked, &m.permit, sim->now);
       else
         {
           m.answer = true;
-          m.permit = permit_granter_request (w->granters[m.granter], &w->view[m.granter],
-                                             (uint64_t)m.holder + 1, w->now);
-          send_message (w, m);
+          m.permit = permit_granter_request (sim->granters[m.granter], &sim->view[m.granter],
+                                             (uint64_t)m.holder + 1, sim->now);
+          send_message (sim, m);
         }
     }
 }
 
 /* A quorum elects the other VM; the old leader is not notified immediately.  */
 static void
-elect_other_granter (struct sim *w)
+elect_other_granter (struct sim *sim)
 {
-  int next = 1 - w->leader;
-  w->view[next] = w->view[w->leader];
-  permit_granter_become_leader (w->granters[next], w->now);
-  w->leader = next;
+  int next = 1 - sim->leader;
+  sim->view[next] = sim->view[sim->leader];
+  permit_granter_become_leader (sim->granters[next], sim->now);
+  sim->leader = next;
 }
 
 static void
-random_event (struct sim *w)
+random_event (struct sim *sim)
 {
-  registry_data_centre *dc = &w->view[w->leader];
-  int holder = (int)rng_below (&w->rng, HOLDERS);
-  double p = rng_unit (&w->rng);
+  registry_data_centre *dc = &sim->view[sim->leader];
+  int holder = (int)rng_below (&sim->rng, HOLDERS);
+  double p = rng_unit (&sim->rng);
   if (p < 0.004)
-    elect_other_granter (w);
+    elect_other_granter (sim);
   else if (p < 0.006)
-    permit_granter_step_down (w->granters[1 - w->leader]);
+    permit_granter_step_down (sim->granters[1 - sim->leader]);
   else if (p < 0.010)
     {
       take_out (dc, !dc->out);
-      w->out_since = dc->out ? w->now : INT64_MAX;
+      sim->out_since = dc->out ? sim->now : INT64_MAX;
     }
   else if (p < 0.015 && dc->out)
     {
-      permit_holder_release (&w->holders[holder], w->now);
+      permit_holder_release (&sim->holders[holder], sim->now);
       dc->stopped_version = dc->state_version;
       dc->stopped_node = (uint64_t)holder + 1;
     }
-  if (rng_chance (&w->rng, 0.5))
-    permit_granter_confirm (w->granters[w->leader], w->now);
+  if (rng_chance (&sim->rng, 0.5))
+    permit_granter_confirm (sim->granters[sim->leader], sim->now);
   for (int i = 0; i < HOLDERS; i++)
-    if (permit_holder_due (&w->holders[i], w->now))
+    if (permit_holder_due (&sim->holders[i], sim->now))
       {
-        struct message m = { .granter = (int)rng_below (&w->rng, GRANTERS), .holder = i };
-        m.asked = permit_holder_request (&w->holders[i], w->now);
-        send_message (w, m);
+        struct message m = { .granter = (int)rng_below (&sim->rng, GRANTERS), .holder = i };
+        m.asked = permit_holder_request (&sim->holders[i], sim->now);
+        send_message (sim, m);
       }
 }
 
+/* Index of hits, the number of steps in which the state was reached.  */
+enum hit_state
+{
+  HELD,
+  IN_FORCE,
+  STATES,
+};
+
 static void
-check_invariants (struct sim *w, int *hits)
+check_invariants (struct sim *sim, int hits[STATES])
 {
-  const registry_data_centre *dc = &w->view[w->leader];
-  bool in_force = permit_granter_in_force (w->granters[w->leader], dc, w->now).in_force;
+  const registry_data_centre *dc = &sim->view[sim->leader];
+  bool in_force = permit_granter_in_force (sim->granters[sim->leader], dc, sim->now).in_force;
   for (int i = 0; i < HOLDERS; i++)
     {
-      bool held = permit_holder_left_ms (&w->holders[i], w->now) > 0;
-      hits[0] += held ? 1 : 0;
-      hits[1] += in_force ? 1 : 0;
+      bool held = permit_holder_left_ms (&sim->holders[i], sim->now) > 0;
+      hits[HELD] += held ? 1 : 0;
+      hits[IN_FORCE] += in_force ? 1 : 0;
       assert_false (held && in_force);
-      assert_false (held && w->out_since <= w->now - PERMIT_LIFE_MS);
+      assert_false (held && sim->out_since <= sim->now - PERMIT_LIFE_MS);
     }
 }
 
 static void
-run_simulation (uint64_t seed, int *hits)
+run_simulation (uint64_t seed, int hits[STATES])
 {
-  struct sim w = { .out_since = INT64_MAX };
-  rng_init (&w.rng, seed);
+  struct sim sim = { .out_since = INT64_MAX };
+  rng_init (&sim.rng, seed);
   for (int i = 0; i < GRANTERS; i++)
     {
-      w.granters[i] = permit_granter_new ();
-      w.view[i] = data_centre ();
-      permit_holder_init (&w.holders[i]);
+      sim.granters[i] = permit_granter_new ();
+      sim.view[i] = data_centre ();
+      permit_holder_init (&sim.holders[i]);
     }
-  permit_granter_become_leader (w.granters[0], 0);
+  permit_granter_become_leader (sim.granters[0], 0);
   for (int i = 0; i < STEPS; i++)
     {
-      w.now += (int64_t)rng_below (&w.rng, 30);
-      random_event (&w);
-      deliver_messages (&w);
-      check_invariants (&w, hits);
+      sim.now += (int64_t)rng_below (&sim.rng, 30);
+      random_event (&sim);
+      deliver_messages (&sim);
+      check_invariants (&sim, hits);
     }
   for (int i = 0; i < GRANTERS; i++)
-    permit_granter_free (w.granters[i]);
+    permit_granter_free (sim.granters[i]);
 }
 
 static void
 test_no_permit_after_in_force (void **state)
 {
-  int hits[2] = { 0, 0 };
+  int hits[STATES] = { 0, 0 };
   (void)state;
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
     run_simulation (seed, hits);
-  assert_true (hits[0] > SEEDS * STEPS / 10);
-  assert_true (hits[1] > SEEDS * STEPS / 10);
+  assert_true (hits[HELD] > MIN_HITS);
+  assert_true (hits[IN_FORCE] > MIN_HITS);
 }
 
 int
--- a/tests/test_plans.c
+++ b/tests/test_plans.c
@@ -85,7 +85,7 @@
 };
 
 static void
-test_each_fault_has_its_place (void **state)
+test_each_error_has_position (void **state)
 {
   (void)state;
   for (size_t i = 0; i < sizeof invalid_edits / sizeof *invalid_edits; i++)
@@ -237,7 +237,7 @@
 }
 
 static void
-test_damaged_files (void **state)
+test_corrupted_files (void **state)
 {
   static const char plans[] = "{\"worker_shapes\":[{\"name\":\"w\",\"millicores\":4000,"
                               "\"memory_mb\":100,\"accelerators\":1}],\n\"plans\":[\n" PLAN (
@@ -298,13 +298,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_each_fault_has_its_place),
+    cmocka_unit_test (test_each_error_has_position),
     cmocka_unit_test (test_all_faults_are_reported_at_once),
     cmocka_unit_test (test_fault_list_is_bounded),
     cmocka_unit_test (test_control_characters_stay_out_of_reports),
     cmocka_unit_test (test_lookup_and_references),
     cmocka_unit_test (test_diff_names_every_change),
-    cmocka_unit_test (test_damaged_files),
+    cmocka_unit_test (test_corrupted_files),
     cmocka_unit_test (test_random_bytes),
     cmocka_unit_test (test_resumed_walk_finds_the_same_line),
   };
--- a/tests/test_registry.c
+++ b/tests/test_registry.c
@@ -496,7 +496,7 @@
 }
 
 static void
-test_damaged_commands (void **state)
+test_corrupted_commands (void **state)
 {
   struct fixture f = open_fixture ();
   struct rng rng;
@@ -534,7 +534,7 @@
 }
 
 static void
-test_damaged_snapshots (void **state)
+test_corrupted_snapshots (void **state)
 {
   struct fixture f = open_fixture ();
   struct rng rng;
@@ -579,8 +579,8 @@
     cmocka_unit_test (test_unusable_lists_leave_the_previous_plans),
     cmocka_unit_test (test_stamp_sets_the_time),
     cmocka_unit_test (test_replicas_agree),
-    cmocka_unit_test (test_damaged_commands),
-    cmocka_unit_test (test_damaged_snapshots),
+    cmocka_unit_test (test_corrupted_commands),
+    cmocka_unit_test (test_corrupted_snapshots),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
