--- a/examples/operator_server.c
+++ b/examples/operator_server.c
@@ -62,8 +62,8 @@
   (void)loop;
   (void)events;
   permit_granter_confirm (l->granter, now_ms);
-  if (permit_granter_next_in_force (l->granter, list, count, now_ms,
-                                    &command.body.registry_body_u.in_force))
+  if (permit_granter_find_unrecorded (l->granter, list, count, now_ms,
+                                      &command.body.registry_body_u.in_force))
     propose_body (l, &command);
 }
 
--- a/src/registry/permit.c
+++ b/src/registry/permit.c
@@ -179,8 +179,8 @@
 }
 
 bool
-permit_granter_next_in_force (const struct permit_granter *g, const registry_data_centre *list,
-                              size_t count, int64_t now_ms, registry_in_force *out)
+permit_granter_find_unrecorded (const struct permit_granter *g, const registry_data_centre *list,
+                                size_t count, int64_t now_ms, registry_in_force *out)
 {
   for (size_t i = 0; i < count && g->leading; i++)
     {
--- a/src/registry/permit.h
+++ b/src/registry/permit.h
@@ -57,11 +57,10 @@
 struct permit_in_force permit_granter_in_force (const struct permit_granter *g,
                                                 const registry_data_centre *dc, int64_t now_ms);
 
-bool
-permit_granter_next_in_force (const struct permit_granter *g, const registry_data_centre *list,
-                              size_t count, int64_t now_ms,
-                              registry_in_force *out); /* An out command in force that is not yet
-                                                          recorded so; OUT borrows its name. */
+bool permit_granter_find_unrecorded (
+    const struct permit_granter *g, const registry_data_centre *list, size_t count, int64_t now_ms,
+    registry_in_force *out); /* An out command in force, not yet recorded so;
+                                OUT borrows the name from LIST. */
 
 /* The holder: the leader of a cell.  */
 struct permit_holder
--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -255,8 +255,8 @@
   size_t n = registry_data_centres (s->config.registry, &all);
   registry_command command = { .request_id = (char *)"" };
   command.body.kind = REGISTRY_IN_FORCE;
-  if (!permit_granter_next_in_force (s->granter, all, n, now_ms,
-                                     &command.body.registry_body_u.in_force))
+  if (!permit_granter_find_unrecorded (s->granter, all, n, now_ms,
+                                       &command.body.registry_body_u.in_force))
     return false;
   propose (s, &command, now_ms);
   return true;
--- a/src/workflow/worker_select.h
+++ b/src/workflow/worker_select.h
@@ -1,7 +1,7 @@
 /* worker_select: chooses the worker for a task.  Pure.
 
    Load pattern: lasting tasks (long-running services) declare about four fifths of all processors
-   and use less than half of that; fill-in tasks earn most of the value and run on what is unused.
+   and use less than half of that; fill-in tasks bring most of the value and run on what is unused.
    A fill-in task is therefore placed by estimated use, where most is unused and no lasting task is
    close to its target.  Any other task is placed by declared size into the smallest gap that fits
    (best fit), which keeps gaps for large tasks.
--- a/tests/test_permit.c
+++ b/tests/test_permit.c
@@ -86,12 +86,12 @@
   permit_granter_confirm (g, now);
   assert_true (permit_granter_request (g, &dc, 1, now).granted);
   take_out (&dc, true);
-  assert_false (permit_granter_next_in_force (g, &dc, 1, now + 1, &report));
+  assert_false (permit_granter_find_unrecorded (g, &dc, 1, now + 1, &report));
   dc.stopped_version = dc.state_version;
   dc.stopped_node = 2;
   assert_false (permit_granter_in_force (g, &dc, now + 1).in_force);
   dc.stopped_node = 1;
-  assert_true (permit_granter_next_in_force (g, &dc, 1, now + 1, &report));
+  assert_true (permit_granter_find_unrecorded (g, &dc, 1, now + 1, &report));
   assert_int_equal (report.reason, REGISTRY_ACKNOWLEDGED);
   assert_int_equal (report.out_version, dc.state_version);
   dc.state_version += 2;
