--- a/bench/log_times.c
+++ b/bench/log_times.c
@@ -134,7 +134,7 @@
   s.longest_heartbeat_us = 0;
   int64_t start = sim_now_ms (&s);
   uint64_t elections = s.elections;
-  behind->up_at_ms = start;
+  behind->restart_at_ms = start;
   while (behind->machine.index < leader->machine.index && sim_now_ms (&s) - start < 600000)
     {
       if (sim_now_ms (&s) % 100 == 0)
--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -323,7 +323,7 @@
   s->round_in_flight = true;
   s->round_started_ms = now_ms;
   s->next_round_ms = now_ms + CONFIRM_INTERVAL_MS;
-  group_confirm_leader (s->group, on_round_done, s);
+  group_confirm_leadership (s->group, on_round_done, s);
 }
 
 void
@@ -486,7 +486,7 @@
       if (!m->members.members_val[i].voter || !other
           || strcmp (other->data_centre, s->config.data_centre) != 0)
         continue;
-      if (group_transfer (s->group, node, &st) == 0)
+      if (group_transfer_leadership (s->group, node, &st) == 0)
         {
           s->transferring = true;
           return;
--- a/src/edge/daemon_groups.c
+++ b/src/edge/daemon_groups.c
@@ -421,7 +421,7 @@
   d->next_handover_ms = now_ms + HANDOVER_EVERY_MS;
   for (size_t i = 0; i < d->group_count; i++)
     if (group_is_leader (d->groups[i].group))
-      group_transfer (d->groups[i].group, 0, &st);
+      group_transfer_leadership (d->groups[i].group, 0, &st);
 }
 
 void
@@ -454,7 +454,8 @@
   for (size_t i = 0; i < d->cell_count; i++)
     cell_service_stop (d->cells[i]);
   for (size_t i = 0; i < d->group_count; i++)
-    if (group_is_leader (d->groups[i].group) && group_transfer (d->groups[i].group, 0, &st) < 0)
+    if (group_is_leader (d->groups[i].group)
+        && group_transfer_leadership (d->groups[i].group, 0, &st) < 0)
       log_line (LOG_INFO, "group %llu: no transfer of leadership: %s",
                 (unsigned long long)d->groups[i].id, st.message);
 }
--- a/src/log/group.c
+++ b/src/log/group.c
@@ -361,13 +361,13 @@
 }
 
 int
-group_transfer (struct group *g, uint64_t to, struct status *st)
+group_transfer_leadership (struct group *g, uint64_t to, struct status *st)
 {
-  return raft_transfer (g->raft, to, g->now_ms, st);
+  return raft_transfer_leadership (g->raft, to, g->now_ms, st);
 }
 
 uint64_t
-group_completed_by (const struct group *g)
+group_quorum_completed_by (const struct group *g)
 {
   return raft_completed_by (g->raft, g->now_ms);
 }
@@ -392,7 +392,7 @@
 }
 
 void
-group_confirm_leader (struct group *g, group_done done, void *arg)
+group_confirm_leadership (struct group *g, group_done done, void *arg)
 {
   struct status st;
   if (group_is_leader (g))
--- a/src/log/group.h
+++ b/src/log/group.h
@@ -96,15 +96,16 @@
 uint64_t group_applied_index (const struct group *g);
 const raft_entry *group_entry (const struct group *g, uint64_t index); /* NULL when not held */
 const raft_members *group_members (const struct group *g); /* Latest members in the log. */
-int group_transfer (struct group *g, uint64_t to,
-                    struct status *st); /* Planned stop: hand over to TO, or the best if 0. */
+int group_transfer_leadership (
+    struct group *g, uint64_t to,
+    struct status *st); /* Planned stop: hand over to TO, or the best if 0. */
 uint64_t
-group_completed_by (const struct group *g); /* Voter whose answer completed the last round's quorum;
-                                               0 unless all voters answer.  */
+group_quorum_completed_by (const struct group *g); /* Voter whose answer completed the last round's
+                                               quorum; 0 unless all voters answer.  */
 void group_change_members (struct group *g, const raft_members *target, group_done done,
                            void *arg); /* Moves to TARGET step by step; repeat if it is lost. */
-void group_confirm_leader (struct group *g, group_done done,
-                           void *arg); /* OK once a quorum confirms; then read the machine. */
+void group_confirm_leadership (struct group *g, group_done done,
+                               void *arg); /* OK once a quorum confirms; then read the machine. */
 void group_peer_connected (struct group *g, uint64_t node); /* A connection to NODE came up. */
 void group_stats (const struct group *g, struct group_stats *out);
 
--- a/src/log/raft.h
+++ b/src/log/raft.h
@@ -125,8 +125,9 @@
 bool raft_has_output (const struct raft *r);        /* True when raft_output has something new. */
 void raft_compact (struct raft *r, const struct raft_snapshot *snapshot,
                    uint64_t keep_from); /* Drops entries below KEEP_FROM (at most index + 1). */
-int raft_transfer (struct raft *r, uint64_t to, int64_t now_ms,
-                   struct status *st); /* Hands leadership to TO, or to the best voter if 0. */
+int raft_transfer_leadership (
+    struct raft *r, uint64_t to, int64_t now_ms,
+    struct status *st); /* Hands leadership to TO, or to the best voter if 0. */
 int raft_set_target (struct raft *r, const raft_members *target,
                      struct status *st);         /* Changes members step by step towards TARGET. */
 bool raft_target_reached (const struct raft *r); /* No change is pending or uncommitted. */
--- a/src/log/raft_leader.c
+++ b/src/log/raft_leader.c
@@ -409,7 +409,7 @@
 }
 
 int
-raft_transfer (struct raft *r, uint64_t to, int64_t now_ms, struct status *st)
+raft_transfer_leadership (struct raft *r, uint64_t to, int64_t now_ms, struct status *st)
 {
   if (r->role != RAFT_LEADER)
     return status_set (st, STATUS_NOT_LEADER, "node %llu does not lead group %llu",
--- a/src/registry/registry_service.c
+++ b/src/registry/registry_service.c
@@ -164,7 +164,7 @@
   STAILQ_CONCAT (&s->in_round, &s->waiting);
   s->round_in_flight = true;
   s->round_started_ms = clock_now_ms (s->config.clock);
-  group_confirm_leader (s->group, on_round_done, s);
+  group_confirm_leadership (s->group, on_round_done, s);
 }
 
 static void
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -197,7 +197,7 @@
   s->transferring = true;
   s->next_transfer_ms = clock_now_ms (s->config.clock) + TRANSFER_RETRY_MS;
   dispatcher_set_authority (s->dispatcher, 0);
-  if (s->group && group_is_leader (s->group) && group_transfer (s->group, to, &st) < 0)
+  if (s->group && group_is_leader (s->group) && group_transfer_leadership (s->group, to, &st) < 0)
     log_event (LOG_WARN, "no-hand-over", "reason=\"%s\"", st.message);
 }
 
@@ -207,7 +207,7 @@
 check_placement (struct workflow_service *s, int64_t now_ms)
 {
   int64_t duration_ms = now_ms - s->round_began_ms;
-  uint64_t to = group_completed_by (s->group);
+  uint64_t to = group_quorum_completed_by (s->group);
   if (to == 0 || !leader_placement_round (&s->placement, now_ms, duration_ms))
     return;
   log_event (LOG_INFO, "leadership-moves",
@@ -239,7 +239,7 @@
   s->round_open = true;
   s->round_began_ms = now_ms;
   s->next_round_ms = now_ms + ROUND_INTERVAL_MS;
-  group_confirm_leader (s->group, on_round, s);
+  group_confirm_leadership (s->group, on_round, s);
 }
 
 void
@@ -325,5 +325,5 @@
   *r = (struct pending_read){
     .service = s, .done = done, .arg = arg, .began_ms = clock_now_ms (s->config.clock)
   };
-  group_confirm_leader (s->group, on_confirmed, r);
+  group_confirm_leadership (s->group, on_confirmed, r);
 }
--- a/tests/log_faults.c
+++ b/tests/log_faults.c
@@ -200,7 +200,7 @@
   struct sim_node *leader = sim_leader (&sc->sim);
   struct status st;
   if (leader)
-    group_transfer (leader->group, 0, &st);
+    group_transfer_leadership (leader->group, 0, &st);
 }
 
 static void
@@ -284,7 +284,7 @@
       return;
     }
   sim_crash (s, n, -1);
-  n->up_at_ms = -1;
+  n->restart_at_ms = -1;
   sc->lost[n->id - 1] = true;
   sim_trace (s, "node %d lost for good", (int)n->id);
 }
@@ -518,7 +518,7 @@
           memory_disk_crash_at (n->disk, 0);
         }
       if (!n->group && !sc->lost[i])
-        n->up_at_ms = 0;
+        n->restart_at_ms = 0;
     }
   restart_stopped (sc);
   sim_run_ms (s, 200);
--- a/tests/log_sim.c
+++ b/tests/log_sim.c
@@ -362,7 +362,7 @@
   if (!n->group && n->disk && memory_disk_crashed (n->disk))
     {
       memory_disk_restart (n->disk);
-      n->up_at_ms = sim_now_ms (s) + 100;
+      n->restart_at_ms = sim_now_ms (s) + 100;
       return;
     }
   if (!n->group)
@@ -384,7 +384,7 @@
   n->used = true;
   n->diskless = diskless;
   n->rate = 1.0;
-  n->up_at_ms = -1;
+  n->restart_at_ms = -1;
   n->initialized = true;
   if (!diskless)
     n->disk = memory_disk_create (&s->rng);
@@ -401,7 +401,7 @@
   n->group = NULL;
   if (n->disk)
     memory_disk_crash (n->disk);
-  n->up_at_ms = down_ms < 0 ? -1 : sim_now_ms (s) + down_ms;
+  n->restart_at_ms = down_ms < 0 ? -1 : sim_now_ms (s) + down_ms;
 }
 
 void
@@ -516,7 +516,7 @@
   for (int i = 0; i < s->nodes_len && !s->failed; i++)
     {
       struct sim_node *n = &s->nodes[i];
-      if (!n->group && n->used && n->up_at_ms >= 0 && sim_now_ms (s) >= n->up_at_ms)
+      if (!n->group && n->used && n->restart_at_ms >= 0 && sim_now_ms (s) >= n->restart_at_ms)
         sim_start (s, n);
       if (!n->group)
         continue;
--- a/tests/log_sim.h
+++ b/tests/log_sim.h
@@ -47,9 +47,9 @@
   struct sim_machine machine;
   double rate; /* of its clock */
   int64_t offset_ms;
-  int64_t up_at_ms; /* restart time while down, -1 for never */
-  uint64_t checked; /* commit index already checked */
-  bool wiped;       /* lost its disk while it was in use */
+  int64_t restart_at_ms; /* restart time while down, -1 for never */
+  uint64_t checked;      /* commit index already checked */
+  bool wiped;            /* lost its disk while it was in use */
 };
 
 struct sim_message
--- a/tests/log_sim_client.c
+++ b/tests/log_sim_client.c
@@ -154,7 +154,7 @@
     return;
   struct sim_call *call = xcalloc (1, sizeof *call);
   *call = (struct sim_call){ .sim = s, .node = n->id, .floor = s->acknowledged };
-  group_confirm_leader (n->group, read_done, call);
+  group_confirm_leadership (n->group, read_done, call);
 }
 
 void
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -86,7 +86,7 @@
   start_all (&s);
   assert_non_null (wait_leader (&s, 100));
   sim_run_ms (&s, 100);
-  group_confirm_leader (s.nodes[0].group, count_done, &confirmed);
+  group_confirm_leadership (s.nodes[0].group, count_done, &confirmed);
   assert_true (group_needs_flush (s.nodes[0].group));
   group_flush (s.nodes[0].group);
   assert_int_equal (confirmed, 1);
@@ -115,7 +115,7 @@
   sim_run_ms (&s, 3000);
   for (int round = 1; round <= 20; round++)
     {
-      group_confirm_leader (sim_leader (&s)->group, count_done, &confirmed);
+      group_confirm_leadership (sim_leader (&s)->group, count_done, &confirmed);
       sim_run_ms (&s, 70);
       assert_int_equal (confirmed, round);
     }
@@ -275,7 +275,7 @@
   sim_read (&s, old);
   sim_run_ms (&s, 200);
   assert_int_equal (s.reads, 1);
-  assert_int_equal (group_transfer (old->group, 0, &st), 0);
+  assert_int_equal (group_transfer_leadership (old->group, 0, &st), 0);
   sim_propose (&s, old, 8);
   assert_int_equal (s.outcomes[1], SIM_REFUSED);
   sim_run_ms (&s, 300);
@@ -299,7 +299,7 @@
   sim_run_ms (&s, 1000);
   sim_read (&s, leader);
   sim_run_ms (&s, 200);
-  uint64_t named = group_completed_by (leader->group);
+  uint64_t named = group_quorum_completed_by (leader->group);
   assert_int_not_equal (named, 0);
   assert_int_not_equal (named, leader->id);
   for (int i = 0; i < 3; i++)
@@ -309,7 +309,7 @@
   assert_ptr_equal (sim_leader (&s), leader);
   sim_read (&s, leader);
   sim_run_ms (&s, 200);
-  assert_int_equal (group_completed_by (leader->group), 0);
+  assert_int_equal (group_quorum_completed_by (leader->group), 0);
   assert_sound (&s);
   sim_close (&s);
 }
@@ -375,7 +375,7 @@
     }
   uint64_t elections = s.elections;
   s.longest_heartbeat_us = 0;
-  behind->up_at_ms = sim_now_ms (&s);
+  behind->restart_at_ms = sim_now_ms (&s);
   for (int i = 0; i < 100 && s.snapshots_installed == 0; i++)
     {
       sim_propose (&s, leader, 200);
