--- a/src/log/group.c
+++ b/src/log/group.c
@@ -7,9 +7,9 @@
 #include "group_internal.h"
 #include "log.h"
 
-/* A flush repeats when its own write produced more output, for example a won election; the bound
-   keeps a callback that proposes again from holding up the loop.  */
-#define FLUSH_PASSES 3
+/* A flush repeats when its own write produced more output, for example a won election; the limit
+   keeps a callback that proposes again from blocking the event loop.  */
+#define FLUSH_MAX_PASSES 3
 
 static struct counter leader_changes
     = { .name = "sassafras_log_leader_changes_total", .help = "Leader changes seen by groups." };
@@ -22,9 +22,9 @@
   return !status_ok (&g->failure);
 }
 
-/* First state of an empty store, made durable before the node answers anything.  */
+/* Makes the initial state of an empty store durable before the node sends any reply.  */
 static int
-start_store (struct group *g, struct store_state *state, struct status *st)
+init_store (struct group *g, struct store_state *state, struct status *st)
 {
   const struct group_config *c = &g->config;
   bool bootstrap = !c->initialized && c->members && raft_members_find (c->members, c->node);
@@ -44,7 +44,7 @@
   struct store_state state;
   int rc = g->store->ops->load (g->store, &state, st);
   if (rc == 0 && state.empty)
-    rc = start_store (g, &state, st);
+    rc = init_store (g, &state, st);
   if (rc == 0 && state.snapshot.index > 0)
     rc = g->config.machine->ops->load (g->config.machine, state.snapshot_data.data,
                                        state.snapshot_data.len, st);
@@ -61,7 +61,7 @@
       g->applied = state.snapshot.index;
       g->snapshot_index = state.snapshot.index;
       g->snapshot_bytes = state.snapshot.bytes;
-      g->seen_term = state.hard.term;
+      g->reported_term = state.hard.term;
     }
   store_state_free (&state);
   return rc;
@@ -141,25 +141,25 @@
   free (g);
 }
 
-/* Reports a change of role, term or leader; a lost leadership ends what waits for it.  */
+/* Reports a change of role, term or leader; loss of leadership completes all waiters.  */
 static void
-note_changes (struct group *g)
+report_changes (struct group *g)
 {
-  bool leads = group_is_leader (g);
+  bool is_leader = group_is_leader (g);
   uint64_t term = raft_term (g->raft);
   uint64_t leader = raft_leader (g->raft);
-  bool lost = g->was_leader && (!leads || term != g->seen_term);
-  if (leads == g->was_leader && term == g->seen_term && leader == g->seen_leader)
+  bool lost = g->was_leader && (!is_leader || term != g->reported_term);
+  if (is_leader == g->was_leader && term == g->reported_term && leader == g->reported_leader)
     return;
-  if (leader != 0 && leader != g->seen_leader)
+  if (leader != 0 && leader != g->reported_leader)
     {
       log_line (LOG_INFO, "group %s: node %llu leads in term %llu", g->config.name,
                 (unsigned long long)leader, (unsigned long long)term);
       counter_add (&leader_changes, 1);
     }
-  g->was_leader = leads;
-  g->seen_term = term;
-  g->seen_leader = leader;
+  g->was_leader = is_leader;
+  g->reported_term = term;
+  g->reported_leader = leader;
   if (lost)
     group_finish_all (g, STATUS_OUTCOME_UNKNOWN, "leadership lost before the outcome was known");
   if (g->config.events.leader_changed)
@@ -173,7 +173,7 @@
   counter_add (&disk_failures, 1);
   g->failure = *st;
   raft_step_down (g->raft, g->now_ms);
-  note_changes (g);
+  report_changes (g);
 }
 
 static void
@@ -225,7 +225,7 @@
   if (has_failed (g))
     return;
   raft_receive (g->raft, m, g->now_ms);
-  note_changes (g);
+  report_changes (g);
 }
 
 void
@@ -235,7 +235,7 @@
   if (has_failed (g))
     return;
   raft_tick (g->raft, now_ms);
-  note_changes (g);
+  report_changes (g);
 }
 
 static void
@@ -279,7 +279,7 @@
     }
   raft_written (g->raft, g->now_ms);
   group_send (g, out.after, out.after_len);
-  note_changes (g);
+  report_changes (g);
   group_apply (g);
   finish_confirms (g);
   if (g->change_done && raft_target_reached (g->raft))
@@ -290,7 +290,7 @@
 void
 group_flush (struct group *g)
 {
-  for (int pass = 0; pass < FLUSH_PASSES; pass++)
+  for (int pass = 0; pass < FLUSH_MAX_PASSES; pass++)
     {
       if (has_failed (g) || !flush_once (g))
         return;
@@ -312,7 +312,7 @@
 {
   if (has_failed (g))
     return false;
-  /* The reply that confirms a round causes no output, but its waiters are told in a flush.  */
+  /* The reply that confirms a round causes no output, but its waiters complete in a flush.  */
   if (confirm_is_ready (g))
     return true;
   return raft_has_output (g->raft) || g->applied < raft_commit (g->raft);
@@ -357,7 +357,7 @@
 const raft_members *
 group_members (const struct group *g)
 {
-  return raft_members_now (g->raft);
+  return raft_latest_members (g->raft);
 }
 
 int
@@ -369,7 +369,7 @@
 uint64_t
 group_quorum_completed_by (const struct group *g)
 {
-  return raft_completed_by (g->raft, g->now_ms);
+  return raft_quorum_completed_by (g->raft, g->now_ms);
 }
 
 void
@@ -397,7 +397,7 @@
   struct status st;
   if (group_is_leader (g))
     {
-      add_waiter (&g->confirms, raft_read_round (g->raft), done, arg);
+      add_waiter (&g->confirms, raft_start_read_round (g->raft), done, arg);
       return;
     }
   status_set (&st, STATUS_NOT_LEADER, "node %llu does not lead group %s",
--- a/src/log/group.h
+++ b/src/log/group.h
@@ -7,13 +7,13 @@
    group_close; `send` must not call back into the group at all.  The message passed to `send` is
    valid only during the call.
 
-   A disk write that fails ends the group's part in the protocol: it steps down, sends nothing,
-   answers STATUS_DISK_FAILED and reports it in the stats.
+   After a failed disk write the group leaves the protocol: it steps down, sends nothing, fails
+   calls with STATUS_DISK_FAILED and reports it in the stats.
 
-   First start: with an empty store and `initialized` false, `members` becomes the first member
-   list and this node may vote if it is in it.  With an empty store and `initialized` true the node
-   holds no members and waits until a leader sends it the log; it votes only after a leader has
-   promoted this very store (see raft.h).  A store with content ignores both.  */
+   First start: with an empty store and `initialized` false, `members` becomes the first member list
+   and this node may vote if it is in it.  With an empty store and `initialized` true the node holds
+   no members and waits until a leader sends it the log; it votes only after a leader has promoted
+   this store (see raft.h).  Both are ignored when the store has content.  */
 
 #ifndef SASSAFRAS_GROUP_H
 #define SASSAFRAS_GROUP_H
@@ -33,7 +33,7 @@
 
 struct group;
 
-/* The outcome of a proposal, called exactly once.  RESULT is valid during the call.  */
+/* Completion callback of a proposal, called exactly once.  RESULT is valid during the call.  */
 typedef void (*group_done) (void *arg, const struct status *st, const void *result, size_t len);
 
 struct group_events
@@ -52,7 +52,7 @@
   const raft_members *members; /* first members, used only when the group is new */
   struct store *store;         /* closed by group_close */
   struct machine *machine;     /* not owned */
-  struct rng *rng;             /* seed it from the kernel's entropy: it also draws store ids */
+  struct rng *rng;             /* seeded from the kernel's entropy: it also generates store ids */
   struct raft_timing timing;   /* all zero selects raft_default_timing */
   uint64_t snapshot_log_bytes; /* 0 selects GROUP_DEFAULT_LOG_BYTES */
   uint32_t append_bytes;       /* target size of one append message; 0 selects 64 KiB */
@@ -88,7 +88,7 @@
 void group_receive (struct group *g, const raft_message *m); /* A message from a peer. */
 void group_tick (struct group *g, int64_t now_ms); /* Sets the time; every 10 to 100 ms. */
 void group_flush (struct group *g);                /* Writes, sends and applies. */
-bool group_needs_flush (const struct group *g);    /* Don't block in the loop before a flush. */
+bool group_needs_flush (const struct group *g);    /* The event loop must flush before it blocks. */
 bool group_is_leader (const struct group *g);
 uint64_t group_leader_node (const struct group *g); /* 0 when unknown */
 uint64_t group_term (const struct group *g);
@@ -98,15 +98,13 @@
 const raft_members *group_members (const struct group *g); /* Latest members in the log. */
 int group_transfer_leadership (
     struct group *g, uint64_t to,
-    struct status *st); /* Planned stop: hand over to TO, or the best if 0. */
-uint64_t
-group_quorum_completed_by (const struct group *g); /* Voter whose answer completed the last round's
-                                               quorum; 0 unless all voters answer.  */
+    struct status *st); /* For a planned stop; to TO, or the best voter if 0. */
+uint64_t group_quorum_completed_by (const struct group *g); /* As raft_quorum_completed_by. */
 void group_change_members (struct group *g, const raft_members *target, group_done done,
-                           void *arg); /* Moves to TARGET step by step; repeat if it is lost. */
+                           void *arg); /* Reaches TARGET step by step; repeat a lost change. */
 void group_confirm_leadership (struct group *g, group_done done,
                                void *arg); /* OK once a quorum confirms; then read the machine. */
-void group_peer_connected (struct group *g, uint64_t node); /* A connection to NODE came up. */
+void group_peer_connected (struct group *g, uint64_t node); /* After connecting to NODE. */
 void group_stats (const struct group *g, struct group_stats *out);
 
 #endif
--- a/src/log/group_apply.c
+++ b/src/log/group_apply.c
@@ -8,9 +8,9 @@
 #include "counters.h"
 #include "log.h"
 
-#define KEEP_FRACTION 4    /* the log kept behind a snapshot is at most this part of its limit */
-#define KEEP_ENTRIES 4096u /* and at most this many entries, for peers slightly behind */
-#define DEFER_FACTOR 4     /* a transfer defers the next snapshot until the log is this long */
+#define KEEP_DIVISOR 4          /* at most 1 / this of the log limit is kept behind a snapshot */
+#define KEEP_MAX_ENTRIES 4096u  /* and at most this many entries, for peers slightly behind */
+#define TRANSFER_DEFER_FACTOR 4 /* log limit multiplier while a snapshot is being sent */
 
 static struct counter commits
     = { .name = "sassafras_log_commits_total", .help = "Commands applied by groups." };
@@ -68,10 +68,10 @@
 static uint64_t
 keep_from (const struct group *g, uint64_t index)
 {
-  uint64_t budget = g->config.snapshot_log_bytes / KEEP_FRACTION;
+  uint64_t budget = g->config.snapshot_log_bytes / KEEP_DIVISOR;
   uint64_t from = index + 1;
   uint64_t bytes = 0;
-  while (from > raft_first_index (g->raft) && index + 1 - from < KEEP_ENTRIES)
+  while (from > raft_first_index (g->raft) && index + 1 - from < KEEP_MAX_ENTRIES)
     {
       const raft_entry *e = raft_entry_at (g->raft, from - 1);
       bytes += e->data.data_len + 64u;
@@ -118,7 +118,7 @@
   if (limit < g->snapshot_bytes)
     limit = g->snapshot_bytes;
   if (raft_sending_snapshot (g->raft))
-    limit *= DEFER_FACTOR;
+    limit *= TRANSFER_DEFER_FACTOR;
   uint64_t size = raft_log_bytes (g->raft);
   if (size < g->store->log_bytes)
     size = g->store->log_bytes;
@@ -126,7 +126,7 @@
     take_snapshot (g);
 }
 
-/* Adds the bytes of the snapshot to a chunk message and sends it.  */
+/* Fills a chunk message with snapshot data and sends it.  */
 static void
 send_chunk (struct group *g, const raft_message *m)
 {
--- a/src/log/group_internal.h
+++ b/src/log/group_internal.h
@@ -34,19 +34,19 @@
   group_done change_done;
   void *change_arg;
   bool was_leader;
-  uint64_t seen_term;
-  uint64_t seen_leader;
+  uint64_t reported_term;
+  uint64_t reported_leader;
   struct status failure; /* why the group stopped; OK while it runs */
   struct buffer result;
 };
 
-void group_fail (struct group *g, const struct status *st); /* Stops the group for good. */
+void group_fail (struct group *g, const struct status *st); /* Stops the group permanently. */
 void group_apply (struct group *g);                         /* Applies what is committed. */
 int group_install (struct group *g, const struct raft_output *out,
                    struct status *st);       /* Stores and loads a received snapshot. */
 void group_maybe_snapshot (struct group *g); /* Takes a snapshot when the log is long. */
 void group_send (struct group *g, const raft_message *messages, size_t len); /* Sends a list. */
 void group_finish_all (struct group *g, enum status_kind proposals,
-                       const char *why); /* Ends every waiter; leadership is gone. */
+                       const char *why); /* Completes every waiter when leadership ends. */
 
 #endif
--- a/src/log/journal.c
+++ b/src/log/journal.c
@@ -33,13 +33,13 @@
 static int
 refuse (struct journal *j, struct status *st)
 {
-  return status_set (st, STATUS_DISK_FAILED, "journal %s: %s; nothing is acknowledged any more",
+  return status_set (st, STATUS_DISK_FAILED, "journal %s: %s; all further writes are rejected",
                      j->name, j->reason);
 }
 
-/* Records a failed call on FILE; every later call is refused.  */
+/* Records a failed call on FILE; later writes are rejected.  */
 static int
-fail (struct journal *j, const char *call, const char *file, struct status *st)
+record_failure (struct journal *j, const char *call, const char *file, struct status *st)
 {
   j->failed = true;
   snprintf (j->reason, sizeof j->reason, "%s of %s failed: %s", call, file, strerror (errno));
@@ -53,21 +53,21 @@
   if (*file < 0 && errno == ENOENT)
     return 0;
   if (*file < 0)
-    return fail (j, "open", name, st);
+    return record_failure (j, "open", name, st);
   int64_t size = j->io->ops->size (j->io, *file);
   if (size < 0)
-    return fail (j, "stat", name, st);
+    return record_failure (j, "stat", name, st);
   buffer_reserve (out, (size_t)size);
   ssize_t n = j->io->ops->read (j->io, *file, 0, out->data, (size_t)size);
   if (n != size)
-    return fail (j, "read", name, st);
+    return record_failure (j, "read", name, st);
   out->len = (size_t)size;
   return 0;
 }
 
 static int
-damaged (const struct journal *j, const char *file, size_t offset, const char *what,
-         struct status *st)
+report_damage (const struct journal *j, const char *file, size_t offset, const char *what,
+               struct status *st)
 {
   return status_set (st, STATUS_JOURNAL_DAMAGED, "journal %s: %s: damaged record at byte %zu: %s",
                      j->name, file, offset, what);
@@ -85,9 +85,9 @@
       const char *payload;
       size_t len;
       size_t data_offset;
-      if (frame_read (raw.data, raw.len, 0, &sequence, &payload, &len) != FRAME_GOOD
+      if (frame_read (raw.data, raw.len, 0, &sequence, &payload, &len) != FRAME_VALID
           || !snapshot_decode (payload, len, &out->snapshot, &data_offset))
-        rc = damaged (j, SNAPSHOT_FILE, 0, "the snapshot fails its checksum", st);
+        rc = report_damage (j, SNAPSHOT_FILE, 0, "the snapshot fails its checksum", st);
       else
         {
           buffer_append (&out->snapshot_data, payload + data_offset, len - data_offset);
@@ -98,25 +98,25 @@
   return rc;
 }
 
-/* Cuts a torn frame at OFFSET, or refuses when an intact frame follows it.  */
+/* Truncates a torn frame at OFFSET; fails when an intact frame follows it.  */
 static int
-end_of_log (struct journal *j, const struct buffer *raw, size_t offset, struct status *st)
+truncate_torn_frame (struct journal *j, const struct buffer *raw, size_t offset, struct status *st)
 {
   size_t found;
   if (offset == 0)
-    return damaged (j, LOG_FILE, 0, "the first record fails its checksum", st);
+    return report_damage (j, LOG_FILE, 0, "the first record fails its checksum", st);
   if (frame_search (raw->data, raw->len, offset, j->sequence, &found))
     {
       char what[NAME_BYTES];
       snprintf (what, sizeof what, "an intact record follows at byte %zu", found);
-      return damaged (j, LOG_FILE, offset, what, st);
+      return report_damage (j, LOG_FILE, offset, what, st);
     }
-  log_line (LOG_WARN, "journal %s: torn write of %zu bytes at byte %zu cut", j->name,
+  log_line (LOG_WARN, "journal %s: truncated torn write of %zu bytes at byte %zu", j->name,
             raw->len - offset, offset);
   if (j->io->ops->truncate (j->io, j->log, offset))
-    return fail (j, "truncate", LOG_FILE, st);
+    return record_failure (j, "truncate", LOG_FILE, st);
   if (j->io->ops->sync (j->io, j->log))
-    return fail (j, "sync", LOG_FILE, st);
+    return record_failure (j, "sync", LOG_FILE, st);
   return 0;
 }
 
@@ -131,16 +131,16 @@
       const char *payload;
       size_t len;
       enum frame_check check = frame_read (raw->data, raw->len, offset, &sequence, &payload, &len);
-      if (check == FRAME_GOOD && sequence != j->sequence + 1)
-        return damaged (j, LOG_FILE, offset, "record out of sequence", st);
-      if (check == FRAME_NONE && offset == 0)
-        return damaged (j, LOG_FILE, 0, "the file is empty", st);
-      if (check == FRAME_BAD && end_of_log (j, raw, offset, st))
+      if (check == FRAME_VALID && sequence != j->sequence + 1)
+        return report_damage (j, LOG_FILE, offset, "record out of sequence", st);
+      if (check == FRAME_END && offset == 0)
+        return report_damage (j, LOG_FILE, 0, "the file is empty", st);
+      if (check == FRAME_INVALID && truncate_torn_frame (j, raw, offset, st))
         return -1;
-      if (check != FRAME_GOOD)
+      if (check != FRAME_VALID)
         break;
       if (!batch_decode (payload, len, out, &capacity))
-        return damaged (j, LOG_FILE, offset, "record cannot be decoded", st);
+        return report_damage (j, LOG_FILE, offset, "record cannot be decoded", st);
       j->sequence = sequence;
       offset += FRAME_HEADER_BYTES + len;
     }
@@ -149,10 +149,10 @@
   return 0;
 }
 
-/* A crash between the renames of a received snapshot and of its log leaves a log that may not meet
-   the snapshot; its entries are then of no use.  */
+/* A crash between the renames of a received snapshot and of its log leaves a log that may not
+   adjoin the snapshot; its entries are then unusable.  */
 static bool
-log_meets_snapshot (const struct store_state *s)
+log_adjoins_snapshot (const struct store_state *s)
 {
   if (s->entries_len == 0 || s->entries[0].index == s->snapshot.index + 1)
     return true;
@@ -169,17 +169,17 @@
   const struct journal_io_ops *io = j->io->ops;
   int next = io->open (j->io, temporary, true);
   if (next < 0)
-    return fail (j, "create", temporary, st);
+    return record_failure (j, "create", temporary, st);
   if (io->write (j->io, next, 0, data->data, data->len) < 0)
     {
-      fail (j, "write", temporary, st);
+      record_failure (j, "write", temporary, st);
       io->close (j->io, next);
       return -1;
     }
   j->store.syncs += 2;
   if (io->sync (j->io, next) || io->rename (j->io, temporary, name) || io->sync_folder (j->io))
     {
-      fail (j, "sync", name, st);
+      record_failure (j, "sync", name, st);
       io->close (j->io, next);
       return -1;
     }
@@ -210,9 +210,9 @@
 }
 
 static int
-drop_unmatched (struct journal *j, struct store_state *out, struct status *st)
+drop_disjoint_log (struct journal *j, struct store_state *out, struct status *st)
 {
-  if (log_meets_snapshot (out))
+  if (log_adjoins_snapshot (out))
     return 0;
   for (size_t i = 0; i < out->entries_len; i++)
     free (out->entries[i].data.data_val);
@@ -231,14 +231,14 @@
   if (rc == 0)
     rc = read_file (j, LOG_FILE, &j->log, &raw, st);
   if (rc == 0 && j->log < 0 && out->snapshot.index > 0)
-    rc = damaged (j, LOG_FILE, 0, "the log is missing beside a snapshot", st);
+    rc = report_damage (j, LOG_FILE, 0, "snapshot present but log missing", st);
   if (rc == 0 && j->log >= 0 && j->snapshot < 0)
-    rc = damaged (j, SNAPSHOT_FILE, 0, "the snapshot is missing beside a log", st);
+    rc = report_damage (j, SNAPSHOT_FILE, 0, "log present but snapshot missing", st);
   if (rc == 0 && j->log >= 0)
     rc = parse_log (j, &raw, out, st);
   if (rc == 0 && j->log >= 0)
-    rc = drop_unmatched (j, out, st);
-  /* Before the first log exists the node has answered nothing.  */
+    rc = drop_disjoint_log (j, out, st);
+  /* The node sends no reply before its first log exists.  */
   out->empty = j->log < 0;
   buffer_close (&raw);
   return rc;
@@ -256,10 +256,10 @@
   batch_encode (&j->scratch, hard, entries, len);
   frame_end (&j->scratch, 0, j->sequence + 1);
   if (j->io->ops->write (j->io, j->log, j->log_size, j->scratch.data, j->scratch.len) < 0)
-    return fail (j, "write", LOG_FILE, st);
+    return record_failure (j, "write", LOG_FILE, st);
   j->store.syncs++;
   if (j->io->ops->sync (j->io, j->log))
-    return fail (j, "sync", LOG_FILE, st);
+    return record_failure (j, "sync", LOG_FILE, st);
   j->sequence++;
   j->log_size += j->scratch.len;
   j->store.log_bytes = j->log_size;
@@ -327,7 +327,7 @@
   if (io->ops->lock (io))
     {
       status_set (st, STATUS_DISK_FAILED, "journal %s: %s", name,
-                  errno == EWOULDBLOCK ? "another process has the folder open" : strerror (errno));
+                  errno == EWOULDBLOCK ? "folder is locked by another process" : strerror (errno));
       io->ops->free (io);
       return NULL;
     }
--- a/src/log/journal.h
+++ b/src/log/journal.h
@@ -1,19 +1,19 @@
 /* journal: durable storage of one group's log.
 
    NOTES
-   struct store is the interface that a group uses; journal_open gives one on a folder and
-   memory_store_open one in memory for a VM without a disk, which stays a learner.
+   struct store is the interface that a group uses; journal_open opens one in a folder and
+   memory_store_open creates one in memory for a VM without a disk, which stays a learner.
 
    A folder holds "lock", "log" and "snapshot".  The log is a sequence of frames, one per batch:
    magic, payload length, sequence number, crc32 (zlib) of header and payload, payload.  A frame is
-   written and synced before the next one begins.  So a damaged last frame is a torn write and is
-   cut, and a damaged frame with an intact one behind it is damage: opening fails with
-   STATUS_JOURNAL_DAMAGED and the frame's offset.  Damage to the very last frame can't be told from
-   a torn write. A snapshot is written to a temporary file, synced and renamed; then the log is
-   rewritten in the same way without the entries it covers.
+   written and synced before the next one begins.  So an invalid last frame is a torn write and is
+   truncated, while an invalid frame with an intact one after it is corruption: opening fails with
+   STATUS_JOURNAL_DAMAGED and the frame's offset.  Corruption of the last frame cannot be
+   distinguished from a torn write.  A snapshot is written to a temporary file, synced and renamed;
+   then the log is rewritten in the same way without the entries it covers.
 
-   After a failed write or sync the store refuses everything with STATUS_DISK_FAILED: the kernel may
-   have dropped the dirty pages, so a later sync that succeeds proves nothing.  */
+   After a failed write or sync the store rejects all writes with STATUS_DISK_FAILED: the kernel may
+   have dropped the dirty pages, so a later successful sync does not prove that data is durable.  */
 
 #ifndef SASSAFRAS_JOURNAL_H
 #define SASSAFRAS_JOURNAL_H
@@ -27,7 +27,7 @@
 #include "raft.h"
 #include "status.h"
 
-/* What a store holds when it is opened.  */
+/* Contents of a store when it is opened.  */
 struct store_state
 {
   bool empty; /* nothing was ever stored */
@@ -60,7 +60,7 @@
 struct store
 {
   const struct store_ops *ops;
-  bool is_volatile;   /* nothing survives a restart */
+  bool is_volatile;   /* contents are lost on restart */
   uint64_t syncs;     /* fsync calls, for measurements */
   uint64_t log_bytes; /* size of the log file */
 };
@@ -78,7 +78,7 @@
   int (*sync) (struct journal_io *io, int file);
   int (*rename) (struct journal_io *io, const char *from, const char *to);
   int (*sync_folder) (struct journal_io *io);
-  int (*lock) (struct journal_io *io); /* fails with EWOULDBLOCK when another process has it */
+  int (*lock) (struct journal_io *io); /* fails with EWOULDBLOCK when another process holds it */
   void (*close) (struct journal_io *io, int file);
   void (*free) (struct journal_io *io);
 };
@@ -92,9 +92,9 @@
                                       struct status *st); /* Creates FOLDER when missing. */
 struct store *
 journal_open (struct journal_io *io, const char *name,
-              struct status *st);       /* Takes IO, NULL fails; NAME appears in messages. */
-struct store *memory_store_open (void); /* A volatile store, for learners. */
-void store_close (struct store *s);     /* Closes files and frees S. */
+              struct status *st); /* Takes ownership of IO, NULL fails; NAME is for messages. */
+struct store *memory_store_open (void);            /* A volatile store, for learners. */
+void store_close (struct store *s);                /* Closes files and frees S. */
 void store_state_free (struct store_state *state); /* Frees what load returned. */
 
 #endif
--- a/src/log/journal_codec.c
+++ b/src/log/journal_codec.c
@@ -52,7 +52,7 @@
   buffer_append (b, raw, sizeof raw);
 }
 
-/* A cursor that remembers whether it ran past the end.  */
+/* A cursor over encoded data; FAILED is set by a read past the end.  */
 struct reader
 {
   const char *p;
@@ -61,7 +61,7 @@
 };
 
 static const char *
-take (struct reader *r, size_t len)
+read_bytes (struct reader *r, size_t len)
 {
   if (r->failed || len > r->left)
     {
@@ -77,14 +77,14 @@
 static uint32_t
 get_u32 (struct reader *r)
 {
-  const char *p = take (r, 4);
+  const char *p = read_bytes (r, 4);
   return p ? load_u32 (p) : 0;
 }
 
 static uint64_t
 get_u64 (struct reader *r)
 {
-  const char *p = take (r, 8);
+  const char *p = read_bytes (r, 8);
   return p ? load_u64 (p) : 0;
 }
 
@@ -120,20 +120,20 @@
             size_t *payload_len)
 {
   if (offset == len)
-    return FRAME_NONE;
+    return FRAME_END;
   if (len - offset < FRAME_HEADER_BYTES)
-    return FRAME_BAD;
+    return FRAME_INVALID;
   const char *header = data + offset;
   size_t size = load_u32 (header + LENGTH_OFFSET);
   if (load_u32 (header) != FRAME_MAGIC || size > FRAME_MAX_BYTES
       || size > len - offset - FRAME_HEADER_BYTES)
-    return FRAME_BAD;
+    return FRAME_INVALID;
   if (frame_crc (header, header + FRAME_HEADER_BYTES, size) != load_u32 (header + CRC_OFFSET))
-    return FRAME_BAD;
+    return FRAME_INVALID;
   *sequence = load_u64 (header + SEQUENCE_OFFSET);
   *payload = header + FRAME_HEADER_BYTES;
   *payload_len = size;
-  return FRAME_GOOD;
+  return FRAME_VALID;
 }
 
 bool
@@ -150,7 +150,7 @@
       if (!hit)
         return false;
       at = (size_t)(hit - data);
-      if (frame_read (data, len, at, &number, &payload, &payload_len) != FRAME_GOOD
+      if (frame_read (data, len, at, &number, &payload, &payload_len) != FRAME_VALID
           || number <= sequence)
         continue;
       *found = at;
@@ -179,7 +179,7 @@
 
 /* Drops the entries from INDEX on; false when a gap would remain.  */
 static bool
-cut_entries (struct store_state *state, uint64_t index)
+truncate_entries (struct store_state *state, uint64_t index)
 {
   if (state->entries_len == 0)
     return true;
@@ -201,8 +201,8 @@
   e.term = get_u64 (r);
   e.kind = (raft_entry_kind)get_u32 (r);
   e.data.data_len = get_u32 (r);
-  const char *data = take (r, e.data.data_len);
-  if (r->failed || !cut_entries (state, e.index))
+  const char *data = read_bytes (r, e.data.data_len);
+  if (r->failed || !truncate_entries (state, e.index))
     return false;
   e.data.data_val = xmalloc (e.data.data_len);
   memcpy (e.data.data_val, data, e.data.data_len);
@@ -256,7 +256,7 @@
   snapshot->term = get_u64 (&r);
   get_u64 (&r);
   uint32_t size = get_u32 (&r);
-  const char *members = take (&r, size);
+  const char *members = read_bytes (&r, size);
   if (r.failed)
     return false;
   XDR xdr;
--- a/src/log/journal_codec.h
+++ b/src/log/journal_codec.h
@@ -17,12 +17,12 @@
 
 enum frame_check
 {
-  FRAME_GOOD,
-  FRAME_BAD,
-  FRAME_NONE, /* exactly at the end */
+  FRAME_VALID,
+  FRAME_INVALID,
+  FRAME_END, /* no data left */
 };
 
-size_t frame_begin (struct buffer *b); /* Space for a header; its offset. */
+size_t frame_begin (struct buffer *b); /* Reserves a header; its offset. */
 void frame_end (struct buffer *b, size_t start, uint64_t sequence); /* Fills the header in. */
 enum frame_check frame_read (const char *data, size_t len, size_t offset, uint64_t *sequence,
                              const char **payload, size_t *payload_len); /* Checks one frame. */
--- a/src/log/member_sync.c
+++ b/src/log/member_sync.c
@@ -5,7 +5,7 @@
 
 #include "log.h"
 
-#define CHECK_EVERY_MS 200 /* a lost voter is replaced within 4 s, in up to three changes */
+#define CHECK_PERIOD_MS 200 /* a lost voter is replaced within 4 s, in up to three changes */
 #define RETRY_MS 400
 
 static int
@@ -30,7 +30,7 @@
   return true;
 }
 
-/* Makes learners of the voters whose disk was replaced.  */
+/* Demotes the voters whose disk was replaced to learners.  */
 static void
 demote_replaced_stores (const struct group *g, raft_member *target, size_t count)
 {
@@ -43,13 +43,13 @@
 }
 
 static void
-on_changed (void *arg, const struct status *st, const void *result, size_t len)
+on_change_done (void *arg, const struct status *st, const void *result, size_t len)
 {
   struct member_sync *m = arg;
   (void)result;
   (void)len;
-  m->open--;
-  log_line (LOG_INFO, "group %s: change of members ended: %s", m->name,
+  m->pending--;
+  log_line (LOG_INFO, "group %s: membership change ended: %s", m->name,
             status_ok (st) ? "done" : st->message);
 }
 
@@ -64,7 +64,7 @@
 static bool
 is_requested (const struct member_sync *m, const raft_member *target, size_t count)
 {
-  if (m->open == 0 || m->requested_count != count)
+  if (m->pending == 0 || m->requested_count != count)
     return false;
   for (size_t i = 0; i < count; i++)
     if (m->requested[i].node != target[i].node || m->requested[i].voter != target[i].voter)
@@ -75,19 +75,19 @@
 void
 member_sync_tick (struct member_sync *m, raft_member *target, size_t count, int64_t now_ms)
 {
-  if (count == 0 || count > PEER_MAX_MEMBERS || now_ms < m->next_ms)
+  if (count == 0 || count > PEER_MAX_MEMBERS || now_ms < m->next_check_ms)
     return;
-  m->next_ms = now_ms + CHECK_EVERY_MS;
+  m->next_check_ms = now_ms + CHECK_PERIOD_MS;
   qsort (target, count, sizeof *target, compare_members);
   demote_replaced_stores (m->group, target, count);
   if (is_requested (m, target, count)
-      || (m->open == 0 && same_members (group_members (m->group), target, count)))
+      || (m->pending == 0 && same_members (group_members (m->group), target, count)))
     return;
   const raft_members list = { { (u_int)count, target } };
   log_line (LOG_INFO, "group %s: changing members", m->name);
   memcpy (m->requested, target, count * sizeof *target);
   m->requested_count = count;
-  m->open++;
-  m->next_ms = now_ms + RETRY_MS;
-  group_change_members (m->group, &list, on_changed, m);
+  m->pending++;
+  m->next_check_ms = now_ms + RETRY_MS;
+  group_change_members (m->group, &list, on_change_done, m);
 }
--- a/src/log/member_sync.h
+++ b/src/log/member_sync.h
@@ -1,10 +1,10 @@
-/* member_sync: brings the members of a group in line with a target list.
+/* member_sync: reconciles the members of a group with a target list.
 
-   A change of members is asked for when the log's members differ from the target.  A voter that
-   answers from another store than the one that may vote has lost its disk: it becomes a learner
+   A membership change is requested when the log's members differ from the target.  A voter that
+   replies from another store than the one that may vote has lost its disk: it becomes a learner
    first, and the next change promotes its new store once it has caught up.  One change at a time; a
-   change that ends without success is asked for again, and one whose target is out of date is
-   replaced, since it may wait for a member that is gone.  */
+   failed change is requested again, and one whose target is out of date is replaced, since it may
+   be waiting for a member that has left.  */
 
 #ifndef SASSAFRAS_MEMBER_SYNC_H
 #define SASSAFRAS_MEMBER_SYNC_H
@@ -18,15 +18,15 @@
 {
   struct group *group;
   const char *name; /* of the group, for log lines */
-  unsigned open;    /* changes without an outcome; a newer target replaces the one before */
+  unsigned pending; /* changes without an outcome; a newer target replaces the previous one */
   raft_member requested[PEER_MAX_MEMBERS]; /* of the last change, sorted */
   size_t requested_count;
-  int64_t next_ms;
+  int64_t next_check_ms;
 };
 
 void member_sync_init (struct member_sync *m, struct group *g,
                        const char *name); /* Nothing to close; G must outlive its changes. */
 void member_sync_tick (struct member_sync *m, raft_member *target, size_t count,
-                       int64_t now_ms); /* While leading; sorts TARGET. */
+                       int64_t now_ms); /* Call while leading; sorts TARGET. */
 
 #endif
--- a/src/log/raft.c
+++ b/src/log/raft.c
@@ -6,9 +6,9 @@
 struct raft_timing
 raft_default_timing (void)
 {
-  /* Six voter peers at 600 ms cost about 3 KB/s; one lost heartbeat does not start an election; the
-     slowest follower starts one 1.5 s after the leader's death, which leaves 500 ms for three round
-     trips of 60 ms, the writes and one repeated attempt.  */
+  /* Heartbeats to six voters every 600 ms cost about 3 KB/s, and one lost heartbeat does not start
+     an election.  The slowest follower starts one 1.5 s after the leader fails, which leaves 500 ms
+     for three round trips of 60 ms, the writes and one retry.  */
   return (struct raft_timing){ .heartbeat_ms = 600,
                                .learner_heartbeat_ms = 15000,
                                .election_min_ms = 1300,
@@ -20,13 +20,13 @@
 }
 
 static uint64_t
-usable_entries (const struct raft_snapshot *snapshot, const raft_entry *entries, size_t len,
-                uint64_t *prev_term)
+skipped_entries (const struct raft_snapshot *snapshot, const raft_entry *entries, size_t len,
+                 uint64_t *prev_term)
 {
   *prev_term = snapshot->term;
   if (len == 0 || entries[0].index > snapshot->index)
     return 0;
-  /* The term before the oldest kept entry is not stored; that entry itself becomes the boundary. */
+  /* The term before the oldest entry is not stored, so that entry becomes the boundary.  */
   *prev_term = entries[0].term;
   return 1;
 }
@@ -48,7 +48,7 @@
   memset (&r->snapshot.members, 0, sizeof r->snapshot.members);
   raft_members_copy (&r->snapshot.members, &snapshot->members);
   uint64_t prev_term;
-  uint64_t skip = usable_entries (snapshot, entries, entries_len, &prev_term);
+  uint64_t skip = skipped_entries (snapshot, entries, entries_len, &prev_term);
   uint64_t first = skip ? entries[0].index + 1 : snapshot->index + 1;
   raft_log_init (&r->log, first, prev_term);
   for (size_t i = skip; i < entries_len; i++)
@@ -56,8 +56,8 @@
                      entries[i].data.data_len);
   r->durable = raft_log_last (&r->log);
   r->commit = snapshot->index;
-  r->promised_ms = INT64_MIN / 2;
-  raft_find_members (r);
+  r->pre_vote_granted_ms = INT64_MIN / 2;
+  raft_reload_members (r);
   raft_reset_election (r, now_ms);
   if (raft_voters (r) == 1 && raft_may_vote (r))
     r->election_ms = now_ms;
@@ -126,7 +126,7 @@
       r->hard.vote = 0;
       r->hard_dirty = true;
     }
-  /* A candidate keeps the short pause before its next attempt.  */
+  /* A candidate keeps its short retry delay.  */
   if (r->role == RAFT_LEADER)
     raft_reset_election (r, now_ms);
   r->role = RAFT_FOLLOWER;
@@ -136,9 +136,9 @@
   r->self_granted = false;
 }
 
-/* Answers a sender whose term is over, so that it learns the current one.  */
+/* Replies to a message of an old term, so that its sender learns the current one.  */
 static void
-refuse_old_term (struct raft *r, const raft_message *m)
+reject_stale_term (struct raft *r, const raft_message *m)
 {
   raft_message_type type;
   switch (m->type)
@@ -159,20 +159,20 @@
   raft_queue (r, type, m->from);
 }
 
-/* Moves to the message's term where the protocol allows it; false when the message is done with. */
+/* Adopts the message's term where the protocol allows it; false when it is to be dropped.  */
 static bool
 check_term (struct raft *r, const raft_message *m, int64_t now_ms)
 {
   if (m->term < r->hard.term)
     {
-      refuse_old_term (r, m);
+      reject_stale_term (r, m);
       return false;
     }
   if (m->term == r->hard.term || m->type == RAFT_PRE_VOTE_REQUEST)
     return true;
   if (m->type == RAFT_PRE_VOTE_REPLY && m->granted)
     return true;
-  if (m->type == RAFT_VOTE_REQUEST && !m->granted && raft_hears_leader (r, now_ms))
+  if (m->type == RAFT_VOTE_REQUEST && !m->granted && raft_has_recent_leader (r, now_ms))
     return false;
   bool from_leader = m->type == RAFT_APPEND_REQUEST || m->type == RAFT_SNAPSHOT_CHUNK;
   raft_become_follower (r, m->term, from_leader ? m->from : 0, now_ms);
@@ -203,14 +203,14 @@
       raft_on_append_reply (r, m, now_ms);
       break;
     case RAFT_SNAPSHOT_CHUNK:
-      raft_on_chunk (r, m, now_ms);
+      raft_on_snapshot_chunk (r, m, now_ms);
       break;
     case RAFT_SNAPSHOT_REPLY:
       raft_on_snapshot_reply (r, m, now_ms);
       break;
     case RAFT_TIMEOUT_NOW:
       if (r->role == RAFT_FOLLOWER && raft_may_vote (r))
-        raft_campaign (r, true, now_ms);
+        raft_start_election (r, true, now_ms);
       break;
     }
 }
@@ -242,10 +242,10 @@
   return raft_log_last (&r->log);
 }
 
-/* An acknowledgement of an earlier term may name entries that were replaced before they reached the
-   disk.  */
+/* Drops acknowledgements of earlier terms: the entries that they name may have been replaced before
+   they reached the disk.  */
 static void
-take_pending (struct raft *r)
+collect_pending_messages (struct raft *r)
 {
   r->after.len = 0;
   struct message_list taken = r->pending;
@@ -269,10 +269,10 @@
   r->now.len = 0;
   if (r->role == RAFT_LEADER)
     {
-      raft_step_members (r, now_ms);
+      raft_step_member_change (r, now_ms);
       raft_send_appends (r, now_ms);
     }
-  take_pending (r);
+  collect_pending_messages (r);
   out->now = r->now.items;
   out->now_len = r->now.len;
   out->after = r->after.items;
@@ -320,7 +320,7 @@
 {
   if (raft_has_unwritten (r) || r->pending.len > 0)
     return true;
-  return r->role == RAFT_LEADER && raft_wants_to_send (r);
+  return r->role == RAFT_LEADER && raft_has_appends_to_send (r);
 }
 
 void
--- a/src/log/raft.h
+++ b/src/log/raft.h
@@ -6,17 +6,17 @@
    index.  The caller sends out.now at once, makes the batch durable, calls raft_written and only
    then sends out.after.  Pointers in an output are valid until the next call on the same raft.
 
-   Rules: pre-vote and check-quorum (a node that hears a leader grants no vote), one durable vote
-   per term, commit only of entries of the leader's own term, one membership change at a time and
-   only after the leader has committed an entry of its term, a learner is promoted after it has
-   caught up.
-
-   Store ids tie a vote to a disk.  A store created at bootstrap has id 0; a store created later
-   has a random id, which the leader learns from the member's replies and records when it promotes
-   the member.  A vote request carries the id that the candidate's member list names, and a node
-   grants only a request that names its own store.  So a node that comes back with an empty disk
-   under an identity that had voted never votes.  Ids with RAFT_STORE_VOLATILE set belong to
-   stores in memory; their nodes stay learners.
+   Rules: pre-vote and check-quorum (a node in contact with a leader grants no vote); one durable
+   vote per term; only entries of the leader's own term are committed directly; one membership
+   change at a time, and only after the leader has committed an entry of its term; a learner is
+   promoted after it has caught up.
+
+   Store ids tie a vote to a disk.  A store created at bootstrap has id 0; a store created later has
+   a random id, which the leader learns from the member's replies and records when it promotes the
+   member.  A vote request carries the id that the candidate's member list names, and a node grants
+   only a request that names its own store.  So a node that restarts with an empty disk under an id
+   that had voted never votes.  Ids with RAFT_STORE_VOLATILE set belong to stores in memory; their
+   nodes stay learners.
 
    Source: Ongaro, "Consensus: bridging theory and practice", chapters 3, 4, 6 and 9.  */
 
@@ -45,17 +45,17 @@
 /* Periods in milliseconds; raft_default_timing suits one-way delays up to 30 ms.  */
 struct raft_timing
 {
-  int64_t heartbeat_ms;         /* leader to voters, and to peers with something outstanding */
+  int64_t heartbeat_ms;         /* leader to voters, and to learners that are not up to date */
   int64_t learner_heartbeat_ms; /* leader to learners that are up to date */
-  int64_t election_min_ms;      /* silence before an election starts, lower bound */
+  int64_t election_min_ms;      /* time without a leader before an election, lower bound */
   int64_t election_max_ms;      /* upper bound */
-  int64_t retry_min_ms;         /* pause after a failed election, lower bound */
+  int64_t retry_min_ms;         /* delay after a failed election, lower bound */
   int64_t retry_max_ms;         /* upper bound */
-  int64_t quorum_ms;            /* a leader without answers of a quorum for this long steps down */
-  int64_t commit_notice_ms;     /* delay of a commit index that no entry carries */
+  int64_t quorum_ms;            /* a leader without replies of a quorum for this long steps down */
+  int64_t commit_notice_ms;     /* delay before a commit index is sent without entries */
 };
 
-/* What must survive a restart beside the log.  */
+/* State that must be durable beside the log.  */
 struct raft_hard_state
 {
   uint64_t term;
@@ -82,7 +82,7 @@
   uint32_t chunk_bytes;      /* size of a snapshot chunk; 0 selects 64 KiB, the limit */
 };
 
-/* One batch of results; see NOTES for the order in which to act on them.  */
+/* One batch of outputs; see NOTES for the order of sending and writing.  */
 struct raft_output
 {
   const raft_message *now; /* messages to send before the write */
@@ -97,12 +97,12 @@
   size_t after_len;
 };
 
-/* State of one peer as its leader sees it.  */
+/* State of a peer as known to the leader.  */
 struct raft_peer_view
 {
   uint64_t node;
   bool voter;
-  bool active;      /* answered within timing.quorum_ms */
+  bool active;      /* replied within timing.quorum_ms */
   bool snapshot;    /* a snapshot transfer is under way */
   bool wrong_store; /* a voter whose disk was replaced: it cannot vote */
   uint64_t match;   /* last entry known to be stored there */
@@ -125,19 +125,18 @@
 bool raft_has_output (const struct raft *r);        /* True when raft_output has something new. */
 void raft_compact (struct raft *r, const struct raft_snapshot *snapshot,
                    uint64_t keep_from); /* Drops entries below KEEP_FROM (at most index + 1). */
-int raft_transfer_leadership (
-    struct raft *r, uint64_t to, int64_t now_ms,
-    struct status *st); /* Hands leadership to TO, or to the best voter if 0. */
+int raft_transfer_leadership (struct raft *r, uint64_t to, int64_t now_ms,
+                              struct status *st); /* To TO, or to the most up-to-date voter if 0. */
 int raft_set_target (struct raft *r, const raft_members *target,
                      struct status *st);         /* Changes members step by step towards TARGET. */
 bool raft_target_reached (const struct raft *r); /* No change is pending or uncommitted. */
-uint64_t raft_read_round (struct raft *r);       /* Starts a round to confirm leadership. */
-bool raft_round_confirmed (const struct raft *r, uint64_t round); /* A quorum answered it. */
-uint64_t raft_completed_by (const struct raft *r,
-                            int64_t now_ms); /* Voter that completed the last quorum; 0 unless
-                                                all voters answer.  */
+uint64_t raft_start_read_round (struct raft *r); /* Starts a round to confirm leadership. */
+bool raft_round_confirmed (const struct raft *r, uint64_t round); /* A quorum has replied. */
+uint64_t raft_quorum_completed_by (
+    const struct raft *r,
+    int64_t now_ms); /* Voter whose reply completed the last quorum; 0 unless all voters reply. */
 void raft_peer_connected (struct raft *r, uint64_t node); /* Sends to NODE at once. */
-void raft_step_down (struct raft *r, int64_t now_ms);     /* Gives up leadership or candidacy. */
+void raft_step_down (struct raft *r, int64_t now_ms); /* A leader or candidate becomes follower. */
 
 enum raft_role raft_role (const struct raft *r);
 uint64_t raft_term (const struct raft *r);
@@ -149,13 +148,13 @@
 uint64_t raft_log_bytes (const struct raft *r);         /* bytes of the entries held */
 uint64_t raft_uncommitted_bytes (const struct raft *r); /* bytes after the commit index */
 const raft_entry *raft_entry_at (const struct raft *r, uint64_t index); /* NULL when not held */
-const raft_members *raft_members_now (const struct raft *r);            /* latest in the log */
+const raft_members *raft_latest_members (const struct raft *r);         /* latest in the log */
 void raft_members_at (const struct raft *r, uint64_t index,
                       raft_members *out); /* As of INDEX, at least the snapshot's; copied. */
 struct raft_hard_state raft_hard_state (const struct raft *r);
 size_t raft_peers (const struct raft *r, struct raft_peer_view *out, size_t max,
                    int64_t now_ms);                /* Leader's view of its peers. */
-bool raft_sending_snapshot (const struct raft *r); /* Some peer is being sent a snapshot. */
+bool raft_sending_snapshot (const struct raft *r); /* A snapshot transfer is under way. */
 
 void raft_members_copy (raft_members *to, const raft_members *from);         /* Deep copy. */
 void raft_members_free (raft_members *m);                                    /* Frees the list. */
--- a/src/log/raft_election.c
+++ b/src/log/raft_election.c
@@ -10,11 +10,11 @@
 }
 
 static void
-pause_after_failure (struct raft *r, int64_t now_ms)
+schedule_retry (struct raft *r, int64_t now_ms)
 {
   r->failed_elections++;
-  /* The long pauses vary widely, or nodes with equal timeouts would keep colliding.  */
-  if (r->failed_elections > RAFT_QUICK_RETRIES)
+  /* The long delays vary widely: nodes with equal timeouts would otherwise keep colliding.  */
+  if (r->failed_elections > RAFT_MAX_QUICK_RETRIES)
     r->election_ms
         = now_ms + rng_between (r->rng, r->timing.election_min_ms, 2 * r->timing.election_min_ms);
   else
@@ -22,11 +22,11 @@
 }
 
 bool
-raft_hears_leader (const struct raft *r, int64_t now_ms)
+raft_has_recent_leader (const struct raft *r, int64_t now_ms)
 {
   if (r->role == RAFT_LEADER)
     return true;
-  /* A little shorter than the timeout: the same heartbeat reaches the others up to a trip later. */
+  /* Slightly below the timeout: the same heartbeat reaches other nodes up to one delay later.  */
   int64_t sticky_ms = r->timing.election_min_ms - r->timing.retry_min_ms;
   return r->leader != 0 && now_ms - r->leader_ms < sticky_ms;
 }
@@ -41,7 +41,7 @@
 }
 
 static void
-ask_votes (struct raft *r, raft_message_type type, uint64_t term, bool forced)
+request_votes (struct raft *r, raft_message_type type, uint64_t term, bool forced)
 {
   uint64_t last = raft_log_last (&r->log);
   uint64_t last_term;
@@ -62,7 +62,7 @@
 }
 
 void
-raft_campaign (struct raft *r, bool forced, int64_t now_ms)
+raft_start_election (struct raft *r, bool forced, int64_t now_ms)
 {
   r->role = RAFT_CANDIDATE;
   r->leader = 0;
@@ -70,25 +70,25 @@
   r->hard.vote = r->node;
   r->hard_dirty = true;
   r->self_granted = false;
-  pause_after_failure (r, now_ms);
-  /* One write and two trips of 30 ms must fit before the next attempt.  */
+  schedule_retry (r, now_ms);
+  /* One write and two one-way delays of 30 ms must fit before the next attempt.  */
   r->election_ms += r->timing.retry_min_ms;
-  ask_votes (r, RAFT_VOTE_REQUEST, r->hard.term, forced);
+  request_votes (r, RAFT_VOTE_REQUEST, r->hard.term, forced);
 }
 
 static void
-campaign_first (struct raft *r, int64_t now_ms)
+start_pre_vote (struct raft *r, int64_t now_ms)
 {
   if (raft_voters (r) == 1)
     {
-      raft_campaign (r, false, now_ms);
+      raft_start_election (r, false, now_ms);
       return;
     }
   r->role = RAFT_PRE_CANDIDATE;
   r->leader = 0;
-  r->asked_ms = now_ms;
-  pause_after_failure (r, now_ms);
-  ask_votes (r, RAFT_PRE_VOTE_REQUEST, r->hard.term + 1, false);
+  r->pre_vote_started_ms = now_ms;
+  schedule_retry (r, now_ms);
+  request_votes (r, RAFT_PRE_VOTE_REQUEST, r->hard.term + 1, false);
 }
 
 void
@@ -101,7 +101,7 @@
       raft_reset_election (r, now_ms);
       return;
     }
-  campaign_first (r, now_ms);
+  start_pre_vote (r, now_ms);
 }
 
 void
@@ -114,7 +114,7 @@
   if (granted <= raft_voters (r) / 2)
     return;
   if (r->role == RAFT_PRE_CANDIDATE)
-    raft_campaign (r, false, now_ms);
+    raft_start_election (r, false, now_ms);
   else if (r->self_granted)
     raft_become_leader (r, now_ms);
 }
@@ -130,37 +130,39 @@
   return m->log_index >= last;
 }
 
-/* Two nodes that start within one trip of each other would both win the pre-vote and then split the
-   votes.  So each pre-vote is promised to one node for a short time, and of two nodes with equal
-   logs that ask each other the one with the lower id goes on.  A longer log overrides a promise:
-   its node may be the only one that can win.  Affects liveness only.  */
+/* Two nodes that start within one network delay of each other would both win the pre-vote and then
+   split the vote.  So a pre-vote is granted to one candidate at a time, for a short period, and of
+   two candidates with equal logs the one with the lower id proceeds.  A longer log overrides an
+   earlier grant: its node may be the only one that can win.  Affects liveness only.  */
 static bool
-may_promise (struct raft *r, const raft_message *m, int64_t now_ms)
+may_grant_pre_vote (struct raft *r, const raft_message *m, int64_t now_ms)
 {
   int64_t window_ms = r->timing.retry_min_ms;
   uint64_t last = raft_log_last (&r->log);
   uint64_t term;
   raft_log_term (&r->log, last, &term);
   bool equal_logs = m->log_term == term && m->log_index == last;
-  bool asking = r->role == RAFT_PRE_CANDIDATE && now_ms - r->asked_ms < window_ms;
-  if (asking && equal_logs && r->node < m->from)
+  bool requesting = r->role == RAFT_PRE_CANDIDATE && now_ms - r->pre_vote_started_ms < window_ms;
+  if (requesting && equal_logs && r->node < m->from)
     return false;
-  bool longer = m->log_term > r->promised_term
-                || (m->log_term == r->promised_term && m->log_index > r->promised_index);
-  return longer || r->promised == m->from || now_ms - r->promised_ms >= window_ms;
+  bool longer
+      = m->log_term > r->pre_vote_granted_term
+        || (m->log_term == r->pre_vote_granted_term && m->log_index > r->pre_vote_granted_index);
+  return longer || r->pre_vote_granted_to == m->from
+         || now_ms - r->pre_vote_granted_ms >= window_ms;
 }
 
 static void
-promise (struct raft *r, const raft_message *m, int64_t now_ms)
+record_pre_vote (struct raft *r, const raft_message *m, int64_t now_ms)
 {
-  r->promised = m->from;
-  r->promised_ms = now_ms;
-  r->promised_index = m->log_index;
-  r->promised_term = m->log_term;
+  r->pre_vote_granted_to = m->from;
+  r->pre_vote_granted_ms = now_ms;
+  r->pre_vote_granted_index = m->log_index;
+  r->pre_vote_granted_term = m->log_term;
   if (r->role == RAFT_PRE_CANDIDATE)
     {
       r->role = RAFT_FOLLOWER;
-      pause_after_failure (r, now_ms);
+      schedule_retry (r, now_ms);
     }
 }
 
@@ -170,9 +172,9 @@
   bool pre = m->type == RAFT_PRE_VOTE_REQUEST;
   bool own_store = m->store == r->hard.store && !(r->hard.store & RAFT_STORE_VOLATILE);
   bool grant = own_store && log_is_current (r, m);
-  if (pre && (raft_hears_leader (r, now_ms) || m->term <= r->hard.term))
+  if (pre && (raft_has_recent_leader (r, now_ms) || m->term <= r->hard.term))
     grant = false;
-  if (pre && grant && !may_promise (r, m, now_ms))
+  if (pre && grant && !may_grant_pre_vote (r, m, now_ms))
     grant = false;
   if (!pre && r->hard.vote != 0 && r->hard.vote != m->from)
     grant = false;
@@ -181,7 +183,7 @@
   if (pre && grant)
     {
       reply->term = m->term;
-      promise (r, m, now_ms);
+      record_pre_vote (r, m, now_ms);
     }
   if (pre || !grant)
     return;
--- a/src/log/raft_follower.c
+++ b/src/log/raft_follower.c
@@ -1,14 +1,14 @@
-/* A follower's part: log matching and receiving snapshots.  */
+/* The follower: log matching and snapshot reception.  */
 
 #include "raft_internal.h"
 
 #include <string.h>
 
-#define SNAPSHOT_MAX_BYTES (UINT64_C (256) << 20) /* a larger announced snapshot is refused */
+#define SNAPSHOT_MAX_BYTES (UINT64_C (256) << 20) /* larger announced snapshots are rejected */
 
-/* Notes a message of the current term's leader.  */
+/* Records contact with the leader of the current term.  */
 static void
-follow (struct raft *r, uint64_t leader, int64_t now_ms)
+follow_leader (struct raft *r, uint64_t leader, int64_t now_ms)
 {
   if (r->role != RAFT_FOLLOWER || r->leader != leader)
     raft_become_follower (r, r->hard.term, leader, now_ms);
@@ -17,13 +17,13 @@
   raft_reset_election (r, now_ms);
   if (r->hard.vote == 0)
     {
-      /* A store that joins within a term may hold no vote of it; following counts as one.  */
+      /* A store that joins during a term may have no vote in it; following counts as one.  */
       r->hard.vote = leader;
       r->hard_dirty = true;
     }
 }
 
-/* Acknowledges the log up to MATCH, in place of an earlier acknowledgement of the same batch.  */
+/* Acknowledges the log up to MATCH; merges with an earlier acknowledgement of the same batch.  */
 static void
 acknowledge (struct raft *r, const raft_message *m, uint64_t match)
 {
@@ -46,9 +46,9 @@
     reply->stream = m->stream;
 }
 
-/* Refuses an append whose previous entry does not match, with a hint where the logs may meet.  */
+/* Rejects an append whose previous entry does not match, with a hint where the logs may match.  */
 static void
-reject (struct raft *r, const raft_message *m)
+reject_append (struct raft *r, const raft_message *m)
 {
   uint64_t last = raft_log_last (&r->log);
   uint64_t hint = m->log_index < last ? m->log_index : last;
@@ -65,7 +65,7 @@
   reply->stream = m->stream;
 }
 
-/* Stores the message's entries from INDEX on; what is already there is left alone.  */
+/* Stores the message's entries; entries that the log already holds are left unchanged.  */
 static void
 store_entries (struct raft *r, const raft_message *m)
 {
@@ -90,7 +90,7 @@
       members_changed |= e->kind == RAFT_ENTRY_MEMBERS;
     }
   if (members_changed)
-    raft_find_members (r);
+    raft_reload_members (r);
 }
 
 void
@@ -98,7 +98,7 @@
 {
   if (r->role == RAFT_LEADER)
     return;
-  follow (r, m->from, now_ms);
+  follow_leader (r, m->from, now_ms);
   uint64_t end = m->log_index + m->entries.entries_len;
   uint64_t term;
   if (end <= r->commit)
@@ -109,7 +109,7 @@
   if (m->log_index >= r->commit
       && (!raft_log_term (&r->log, m->log_index, &term) || term != m->log_term))
     {
-      reject (r, m);
+      reject_append (r, m);
       return;
     }
   store_entries (r, m);
@@ -120,7 +120,7 @@
 }
 
 static bool
-start_incoming (struct raft *r, const raft_message *m)
+start_incoming_snapshot (struct raft *r, const raft_message *m)
 {
   if (m->chunk_total > SNAPSHOT_MAX_BYTES)
     return false;
@@ -133,7 +133,7 @@
 }
 
 static void
-install (struct raft *r)
+install_snapshot (struct raft *r)
 {
   uint64_t index = r->incoming_snapshot.index;
   uint64_t term;
@@ -152,15 +152,15 @@
   r->installing = r->incoming;
   buffer_init (&r->incoming);
   r->install = true;
-  raft_find_members (r);
+  raft_reload_members (r);
 }
 
 void
-raft_on_chunk (struct raft *r, const raft_message *m, int64_t now_ms)
+raft_on_snapshot_chunk (struct raft *r, const raft_message *m, int64_t now_ms)
 {
   if (r->role == RAFT_LEADER)
     return;
-  follow (r, m->from, now_ms);
+  follow_leader (r, m->from, now_ms);
   if (m->log_index <= r->commit)
     {
       acknowledge (r, m, r->commit);
@@ -168,13 +168,13 @@
     }
   bool same = r->incoming_snapshot.index == m->log_index && r->incoming_snapshot.term == m->log_term
               && r->incoming_snapshot.bytes == m->chunk_total;
-  if (!same && !start_incoming (r, m))
+  if (!same && !start_incoming_snapshot (r, m))
     return;
   if (m->chunk_offset == r->incoming.len && m->chunk.chunk_len <= m->chunk_total - m->chunk_offset)
     buffer_append (&r->incoming, m->chunk.chunk_val, m->chunk.chunk_len);
   if (r->incoming.len == m->chunk_total)
     {
-      install (r);
+      install_snapshot (r);
       acknowledge (r, m, r->commit);
       return;
     }
--- a/src/log/raft_internal.h
+++ b/src/log/raft_internal.h
@@ -8,13 +8,13 @@
 
 #define RAFT_APPEND_BYTES 65536u /* default target size of one append message */
 #define RAFT_WINDOW_BYTES                                                                          \
-  262144u /* most that is unacknowledged per peer: 30 Mbit/s over a 60 ms round trip */
+  262144u /* limit of unacknowledged bytes per peer: 30 Mbit/s over a 60 ms round trip */
 #define RAFT_CATCH_UP_ENTRIES 64u /* a learner this close behind may be promoted */
-#define RAFT_QUICK_RETRIES 12     /* failed elections after which the pauses become long */
+#define RAFT_MAX_QUICK_RETRIES 12 /* failed elections after which the retry delays become long */
 
 enum peer_state
 {
-  PEER_PROBE,     /* one append at a time until its log is matched */
+  PEER_PROBE,     /* one append at a time until the logs match */
   PEER_REPLICATE, /* appends are pipelined up to the window */
   PEER_SNAPSHOT,  /* snapshot chunks, one at a time */
 };
@@ -26,7 +26,7 @@
   uint64_t member_store; /* store id in the member list */
   uint64_t store;        /* store id in its replies */
   bool store_known;
-  bool granted; /* its vote or pre-vote */
+  bool granted; /* has granted its vote or pre-vote */
   enum peer_state state;
   uint64_t match;       /* highest entry known to be stored there */
   uint64_t next;        /* next entry to send */
@@ -36,7 +36,7 @@
   uint64_t snapshot_offset;
   uint32_t window;  /* bytes that may be unacknowledged; grows with each acknowledgement */
   uint32_t stream;  /* of the appends being sent, see on_reject */
-  bool outstanding; /* a probe or a chunk has not been answered */
+  bool outstanding; /* a probe or a chunk has no reply yet */
   bool send_now;    /* send an append even when it is empty */
   int64_t sent_ms;
   int64_t reply_ms;
@@ -76,7 +76,7 @@
 
   uint64_t noop_index; /* first entry of this leader's term */
   uint64_t round;
-  uint64_t completed_by; /* the voter whose answer completed the latest quorum of a round */
+  uint64_t quorum_completed_by; /* the voter whose reply completed the latest quorum of a round */
   uint64_t transfer_to;
   int64_t transfer_until_ms;
   raft_members target;
@@ -89,14 +89,14 @@
   struct message_list now;
   struct message_list after;
 
-  int64_t asked_ms;        /* start of the own pre-vote round */
-  uint64_t promised;       /* node whose pre-vote was granted last */
-  int64_t promised_ms;     /* when */
-  uint64_t promised_index; /* end of that node's log */
-  uint64_t promised_term;
+  int64_t pre_vote_started_ms;     /* start of this node's pre-vote round */
+  uint64_t pre_vote_granted_to;    /* candidate whose pre-vote request was granted last */
+  int64_t pre_vote_granted_ms;     /* when */
+  uint64_t pre_vote_granted_index; /* last entry of its log */
+  uint64_t pre_vote_granted_term;
   int failed_elections;
   bool hard_dirty;    /* HARD is not on disk yet */
-  bool self_granted;  /* own vote is durable */
+  bool self_granted;  /* this node's vote is durable */
   bool round_open;    /* ROUND has not been sent yet */
   bool transfer_sent; /* TRANSFER_TO was told to start an election */
   bool target_set;
@@ -112,10 +112,10 @@
 
 /* raft_election.c */
 void raft_reset_election (struct raft *r, int64_t now_ms); /* Restarts the election timeout. */
-bool raft_hears_leader (const struct raft *r, int64_t now_ms);
+bool raft_has_recent_leader (const struct raft *r, int64_t now_ms);
 bool raft_may_vote (const struct raft *r); /* The member list grants this store a vote. */
 void raft_election_tick (struct raft *r, int64_t now_ms);
-void raft_campaign (struct raft *r, bool forced, int64_t now_ms); /* Asks for votes. */
+void raft_start_election (struct raft *r, bool forced, int64_t now_ms); /* Requests votes. */
 void raft_count_votes (struct raft *r, int64_t now_ms);
 void raft_on_vote_request (struct raft *r, const raft_message *m, int64_t now_ms);
 void raft_on_vote_reply (struct raft *r, const raft_message *m, int64_t now_ms);
@@ -127,19 +127,19 @@
 void raft_on_append_reply (struct raft *r, const raft_message *m, int64_t now_ms);
 void raft_on_snapshot_reply (struct raft *r, const raft_message *m, int64_t now_ms);
 void raft_send_appends (struct raft *r, int64_t now_ms); /* Fills r->now. */
-bool raft_wants_to_send (const struct raft *r);          /* raft_send_appends has something. */
+bool raft_has_appends_to_send (const struct raft *r);    /* raft_send_appends would send. */
 
 /* raft_follower.c */
 void raft_on_append (struct raft *r, const raft_message *m, int64_t now_ms);
-void raft_on_chunk (struct raft *r, const raft_message *m, int64_t now_ms);
+void raft_on_snapshot_chunk (struct raft *r, const raft_message *m, int64_t now_ms);
 
 /* raft_members.c */
-void raft_use_members (struct raft *r, const raft_members *members, uint64_t index);
-void raft_find_members (struct raft *r); /* Takes the latest members from the log. */
+void raft_set_members (struct raft *r, const raft_members *members, uint64_t index);
+void raft_reload_members (struct raft *r); /* Takes the latest members from the log. */
 void raft_append_entry (struct raft *r, raft_entry_kind kind, const void *data, size_t len);
-void raft_step_members (struct raft *r, int64_t now_ms); /* Proposes the next change. */
+void raft_step_member_change (struct raft *r, int64_t now_ms); /* Proposes the next change. */
 bool raft_decode_members (const void *data, size_t len, raft_members *out); /* Owned by OUT. */
 size_t raft_voters (const struct raft *r);                                  /* Self included. */
-bool raft_self_votes (const struct raft *r); /* This node is a voter in the list. */
+bool raft_self_is_voter (const struct raft *r); /* This node is a voter in the list. */
 
 #endif
--- a/src/log/raft_leader.c
+++ b/src/log/raft_leader.c
@@ -1,10 +1,10 @@
-/* A leader's part: replication, commit, leadership checks and transfer.  */
+/* The leader: replication, commit, leadership checks and transfer.  */
 
 #include "raft_internal.h"
 
 #include <stdlib.h>
 
-#define ANSWERS_MS 700 /* a heartbeat and a round trip between regions: the voter is there */
+#define REACHABLE_MS 700 /* a heartbeat period plus a round trip between regions */
 
 static bool
 is_active (const struct raft *r, const struct raft_peer *p, int64_t now_ms)
@@ -19,7 +19,7 @@
   r->leader = r->node;
   r->failed_elections = 0;
   r->transfer_to = 0;
-  r->completed_by = 0;
+  r->quorum_completed_by = 0;
   r->round++;
   r->round_open = true;
   for (size_t i = 0; i < r->peers_len; i++)
@@ -42,7 +42,7 @@
 static bool
 has_quorum (const struct raft *r, int64_t now_ms)
 {
-  size_t active = raft_self_votes (r) ? 1 : 0;
+  size_t active = raft_self_is_voter (r) ? 1 : 0;
   for (size_t i = 0; i < r->peers_len; i++)
     if (r->peers[i].voter && is_active (r, &r->peers[i], now_ms))
       active++;
@@ -53,7 +53,7 @@
 send_period (const struct raft *r, const struct raft_peer *p)
 {
   bool current = p->match == raft_log_last (&r->log) && p->sent_commit == r->commit;
-  /* A learner is promoted only while it answers, so it must be heard at the rate of a voter.  */
+  /* A learner is promoted only while it replies, so it gets heartbeats at the rate of a voter.  */
   const raft_member *wanted = r->target_set ? raft_members_find (&r->target, p->node) : NULL;
   bool promoting = wanted && wanted->voter;
   if (!p->voter && !promoting && current && p->state == PEER_REPLICATE)
@@ -98,7 +98,7 @@
 {
   uint64_t match[PEER_MAX_MEMBERS + 1];
   size_t len = 0;
-  if (raft_self_votes (r))
+  if (raft_self_is_voter (r))
     match[len++] = r->durable;
   for (size_t i = 0; i < r->peers_len; i++)
     if (r->peers[i].voter)
@@ -117,9 +117,9 @@
   r->commit = index;
 }
 
-/* A reply from another store than before: the disk was replaced and what it held is gone.  */
+/* A reply from another store than before means that the disk was replaced and its log is lost.  */
 static void
-note_store (struct raft_peer *p, uint64_t store)
+update_peer_store (struct raft_peer *p, uint64_t store)
 {
   if (p->store_known && p->store != store)
     {
@@ -133,7 +133,7 @@
 }
 
 static void
-check_transfer (struct raft *r, const struct raft_peer *p)
+try_finish_transfer (struct raft *r, const struct raft_peer *p)
 {
   if (r->transfer_to != p->node || r->transfer_sent || p->match < raft_log_last (&r->log))
     return;
@@ -161,12 +161,12 @@
       p->outstanding = false;
     }
   raft_advance_commit (r);
-  check_transfer (r, p);
+  try_finish_transfer (r, p);
 }
 
-/* When one append of a pipeline is lost, all behind it are rejected.  The first rejection restarts
-   the pipeline under a new stream number; the others carry the old number and are ignored, or each
-   would send the whole window again.  For the same reason only an answer to the new stream ends the
+/* When one append of a pipeline is lost, all later ones are rejected.  The first rejection restarts
+   the pipeline under a new stream number; the others carry the old number and are ignored, since
+   each would resend the whole window.  For the same reason only a reply to the new stream ends the
    probe.  */
 static void
 on_reject (struct raft *r, struct raft_peer *p, const raft_message *m)
@@ -186,19 +186,19 @@
 }
 
 static struct raft_peer *
-note_reply (struct raft *r, const raft_message *m, int64_t now_ms)
+record_reply (struct raft *r, const raft_message *m, int64_t now_ms)
 {
   struct raft_peer *p = r->role == RAFT_LEADER ? raft_find_peer (r, m->from) : NULL;
   if (!p)
     return NULL;
-  note_store (p, m->store);
+  update_peer_store (p, m->store);
   p->reply_ms = now_ms;
   if (m->round > p->round_acked && m->round <= r->round)
     {
       bool confirmed = raft_round_confirmed (r, m->round);
       p->round_acked = m->round;
       if (!confirmed && raft_round_confirmed (r, m->round))
-        r->completed_by = p->node;
+        r->quorum_completed_by = p->node;
     }
   return p;
 }
@@ -206,7 +206,7 @@
 void
 raft_on_append_reply (struct raft *r, const raft_message *m, int64_t now_ms)
 {
-  struct raft_peer *p = note_reply (r, m, now_ms);
+  struct raft_peer *p = record_reply (r, m, now_ms);
   if (!p)
     return;
   if (m->granted)
@@ -218,7 +218,7 @@
 void
 raft_on_snapshot_reply (struct raft *r, const raft_message *m, int64_t now_ms)
 {
-  struct raft_peer *p = note_reply (r, m, now_ms);
+  struct raft_peer *p = record_reply (r, m, now_ms);
   if (!p || p->state != PEER_SNAPSHOT || m->log_index != p->snapshot_index)
     return;
   if (m->chunk_offset > r->snapshot.bytes || m->chunk_offset == p->snapshot_offset)
@@ -252,7 +252,7 @@
   p->sent_ms = now_ms;
 }
 
-/* Entries from p->next on, up to the size of one message.  */
+/* Number of entries from p->next on that fit into one message.  */
 static u_int
 entries_to_send (const struct raft *r, const struct raft_peer *p)
 {
@@ -325,7 +325,7 @@
 }
 
 bool
-raft_wants_to_send (const struct raft *r)
+raft_has_appends_to_send (const struct raft *r)
 {
   /* Also without other voters: a single voter confirms a round by itself.  */
   if (r->round_open)
@@ -346,7 +346,7 @@
 }
 
 uint64_t
-raft_read_round (struct raft *r)
+raft_start_read_round (struct raft *r)
 {
   if (!r->round_open)
     r->round++;
@@ -355,17 +355,17 @@
 }
 
 uint64_t
-raft_completed_by (const struct raft *r, int64_t now_ms)
+raft_quorum_completed_by (const struct raft *r, int64_t now_ms)
 {
   if (r->role != RAFT_LEADER)
     return 0;
   for (size_t i = 0; i < r->peers_len; i++)
     {
       const struct raft_peer *p = &r->peers[i];
-      if (p->voter && (p->round_acked == 0 || now_ms - p->reply_ms > ANSWERS_MS))
+      if (p->voter && (p->round_acked == 0 || now_ms - p->reply_ms > REACHABLE_MS))
         return 0;
     }
-  return r->completed_by;
+  return r->quorum_completed_by;
 }
 
 bool
@@ -375,7 +375,7 @@
     return false;
   if (r->round_open && round >= r->round)
     return false;
-  size_t confirmed = raft_self_votes (r) ? 1 : 0;
+  size_t confirmed = raft_self_is_voter (r) ? 1 : 0;
   for (size_t i = 0; i < r->peers_len; i++)
     if (r->peers[i].voter && r->peers[i].round_acked >= round)
       confirmed++;
@@ -422,6 +422,6 @@
   r->transfer_sent = false;
   r->transfer_until_ms = now_ms + r->timing.election_min_ms;
   p->send_now = true;
-  check_transfer (r, p);
+  try_finish_transfer (r, p);
   return 0;
 }
--- a/src/log/raft_log.c
+++ b/src/log/raft_log.c
@@ -59,7 +59,7 @@
 }
 
 static void
-make_room (struct raft_log *l)
+reserve_entry (struct raft_log *l)
 {
   if (l->head + l->len < l->capacity)
     return;
@@ -79,7 +79,7 @@
 raft_log_append (struct raft_log *l, uint64_t term, raft_entry_kind kind, const void *data,
                  size_t len)
 {
-  make_room (l);
+  reserve_entry (l);
   size_t at = l->head + l->len;
   raft_entry *e = &l->entries[at];
   e->index = l->first + l->len;
--- a/src/log/raft_log.h
+++ b/src/log/raft_log.h
@@ -19,7 +19,7 @@
 {
   raft_entry *entries;
   uint64_t *ends;
-  size_t head; /* array position of FIRST; those before it are free */
+  size_t head; /* array position of FIRST; positions before it are unused */
   size_t len;
   size_t capacity;
   uint64_t first;     /* index of the oldest entry held */
--- a/src/log/raft_members.c
+++ b/src/log/raft_members.c
@@ -1,4 +1,4 @@
-/* Members: the list in force, its encoding and changes one at a time.  */
+/* Membership: the list in force, its encoding and changes by one member at a time.  */
 
 #include "raft_internal.h"
 
@@ -64,7 +64,7 @@
 {
   raft_log_append (&r->log, r->hard.term, kind, data, len);
   if (kind == RAFT_ENTRY_MEMBERS)
-    raft_find_members (r);
+    raft_reload_members (r);
 }
 
 size_t
@@ -78,7 +78,7 @@
 }
 
 bool
-raft_self_votes (const struct raft *r)
+raft_self_is_voter (const struct raft *r)
 {
   const raft_member *self = raft_members_find (&r->members, r->node);
   return self && self->voter;
@@ -98,7 +98,7 @@
 }
 
 void
-raft_use_members (struct raft *r, const raft_members *members, uint64_t index)
+raft_set_members (struct raft *r, const raft_members *members, uint64_t index)
 {
   raft_members copy = { { 0, NULL } };
   raft_members_copy (&copy, members);
@@ -127,7 +127,7 @@
 }
 
 void
-raft_find_members (struct raft *r)
+raft_reload_members (struct raft *r)
 {
   for (uint64_t i = raft_log_last (&r->log); i > r->snapshot.index; i--)
     {
@@ -138,11 +138,11 @@
       if (e->kind != RAFT_ENTRY_MEMBERS
           || !raft_decode_members (e->data.data_val, e->data.data_len, &members))
         continue;
-      raft_use_members (r, &members, i);
+      raft_set_members (r, &members, i);
       raft_members_free (&members);
       return;
     }
-  raft_use_members (r, &r->snapshot.members, r->snapshot.index);
+  raft_set_members (r, &r->snapshot.members, r->snapshot.index);
 }
 
 void
@@ -173,7 +173,7 @@
       const raft_member *m = &target->members.members_val[i];
       voters += m->voter ? 1 : 0;
       if (m->node == 0 || raft_members_find (target, m->node) != m)
-        return status_set (st, STATUS_BAD_REQUEST, "member %llu is zero or named twice",
+        return status_set (st, STATUS_BAD_REQUEST, "member %llu is zero or listed twice",
                            (unsigned long long)m->node);
     }
   if (voters == 0)
@@ -184,7 +184,7 @@
   const raft_member *self = raft_members_find (target, r->node);
   if (!self || !self->voter)
     return status_set (st, STATUS_BAD_REQUEST,
-                       "the leader, node %llu, is not a voter of the new list: transfer first",
+                       "leader %llu is not a voter of the new list: transfer leadership first",
                        (unsigned long long)r->node);
   return 0;
 }
@@ -202,7 +202,7 @@
   return 0;
 }
 
-/* One membership change, as a new list.  */
+/* Appends a member list that changes one member.  */
 static void
 change_member (struct raft *r, uint64_t node, bool present, bool voter, uint64_t store)
 {
@@ -226,7 +226,7 @@
   for (u_int i = 0; i < r->target.members.members_len; i++)
     {
       uint64_t node = r->target.members.members_val[i].node;
-      /* A full list first loses a member; the step after that adds this one.  */
+      /* When the list is full, a member is removed first and the next step adds this one.  */
       if (raft_members_find (&r->members, node)
           || r->members.members.members_len >= PEER_MAX_MEMBERS)
         continue;
@@ -237,7 +237,7 @@
 }
 
 static bool
-is_answering (const struct raft *r, const struct raft_peer *p, int64_t now_ms)
+is_active (const struct raft *r, const struct raft_peer *p, int64_t now_ms)
 {
   return now_ms - p->reply_ms < r->timing.quorum_ms;
 }
@@ -245,12 +245,12 @@
 static bool
 may_promote (const struct raft *r, const struct raft_peer *p, int64_t now_ms)
 {
-  return p->store_known && !(p->store & RAFT_STORE_VOLATILE) && is_answering (r, p, now_ms)
+  return p->store_known && !(p->store & RAFT_STORE_VOLATILE) && is_active (r, p, now_ms)
          && p->state == PEER_REPLICATE
          && raft_log_last (&r->log) - p->match <= RAFT_CATCH_UP_ENTRIES;
 }
 
-/* Learners that the target makes voters: true in READY when every one may be promoted now.  */
+/* The first learner to promote; READY is true when all learners to promote may be promoted now.  */
 static struct raft_peer *
 next_promotion (struct raft *r, int64_t now_ms, bool *ready)
 {
@@ -270,17 +270,17 @@
   return first;
 }
 
-/* A member that the target removes or makes a learner; lost voters first.  */
+/* A member to remove or demote; with ONLY_FAILED, one that is unreachable or lost its disk.  */
 static struct raft_peer *
-next_removal (struct raft *r, int64_t now_ms, bool only_lost)
+next_removal (struct raft *r, int64_t now_ms, bool only_failed)
 {
   for (size_t i = 0; i < r->peers_len; i++)
     {
       struct raft_peer *p = &r->peers[i];
       const raft_member *wanted = raft_members_find (&r->target, p->node);
       bool keep = wanted && (wanted->voter || !p->voter);
-      bool lost = !is_answering (r, p, now_ms) || (p->store_known && p->store != p->member_store);
-      if (!keep && (!only_lost || lost))
+      bool failed = !is_active (r, p, now_ms) || (p->store_known && p->store != p->member_store);
+      if (!keep && (!only_failed || failed))
         return p;
     }
   return NULL;
@@ -294,7 +294,7 @@
 }
 
 void
-raft_step_members (struct raft *r, int64_t now_ms)
+raft_step_member_change (struct raft *r, int64_t now_ms)
 {
   if (!r->target_set || r->members_index > r->commit || r->commit < r->noop_index)
     return;
--- a/src/log/raft_state.c
+++ b/src/log/raft_state.c
@@ -63,7 +63,7 @@
 }
 
 const raft_members *
-raft_members_now (const struct raft *r)
+raft_latest_members (const struct raft *r)
 {
   return &r->members;
 }
