--- a/tests/log_faults.c
+++ b/tests/log_faults.c
@@ -1,8 +1,8 @@
 /* Seeded fault test of the real raft, journal and group.
 
    Guards against: two leaders in a term, two votes in a term, a committed entry lost or changed,
-   state machines that differ, an acknowledged command lost, a refused command run, a stale read, a
-   vote from a replaced disk, and a group that does not recover once the faults are over.
+   state machines that diverge, an acknowledged command lost, a refused command run, a stale read, a
+   vote from a replaced disk, and a group that does not recover after the faults end.
 
    Usage: log_faults [--first N] [--seeds N] [--expect-failure] [--trace]
    Each seed is one run under message loss, duplication, reordering and delay, partitions (also
@@ -27,16 +27,16 @@
 struct scenario
 {
   struct sim sim;
-  struct rng rng; /* separate from the sim's, so that both stay readable */
+  struct rng rng; /* separate from the simulation's, so that each can be followed */
   int64_t next_fault_ms;
   bool changing;
   bool change_done;
   bool repaired;            /* a lost voter was just replaced */
-  bool lost[SIM_MAX_NODES]; /* never comes back */
+  bool lost[SIM_MAX_NODES]; /* stopped permanently */
   double propose_chance;
   double leader_fault;     /* chance that a new leader fails at once */
   double voter_fault;      /* chance that a node restarts after it granted a vote */
-  int64_t heal_at_ms;      /* 0: no healing is due */
+  int64_t heal_at_ms;      /* 0: no healing is scheduled */
   uint64_t failing_leader; /* a new leader that is about to fail */
   int64_t failing_at_ms;
 };
@@ -54,8 +54,8 @@
                                .commit_notice_ms = 5 };
 }
 
-/* Some seeds make elections collide and their winners fail at once: the faults that a lost vote or
-   the commit of an old term's entry needs to do harm.  */
+/* Some seeds make elections collide and their winners fail at once: without these faults a lost
+   vote or the commit of an old term's entry violates nothing.  */
 static void
 choose_election_faults (struct scenario *sc)
 {
@@ -70,7 +70,7 @@
       s->config.append_bytes = 100;
       return;
     }
-  /* A promise of a pre-vote this short lets several candidates ask for votes in one term.  */
+  /* A pre-vote grant this short lets several candidates request votes in one term.  */
   s->config.timing.retry_min_ms = 1;
   s->config.timing.retry_max_ms = 40;
   sc->voter_fault = 0.8;
@@ -157,7 +157,7 @@
 static void
 heal (struct scenario *sc)
 {
-  memset (sc->sim.cut, 0, sizeof sc->sim.cut);
+  memset (sc->sim.partitioned, 0, sizeof sc->sim.partitioned);
   sim_trace (&sc->sim, "network healed");
 }
 
@@ -169,14 +169,14 @@
     side[i] = rng_chance (&sc->rng, 0.5);
   for (int i = 0; i < SIM_MAX_NODES; i++)
     for (int k = 0; k < SIM_MAX_NODES; k++)
-      sc->sim.cut[i][k] = side[i] != side[k];
+      sc->sim.partitioned[i][k] = side[i] != side[k];
   sim_trace (&sc->sim, "partition");
 }
 
 static void
-cut_one_way (struct scenario *sc)
+partition_one_way (struct scenario *sc)
 {
-  sc->sim.cut[any_node (sc)->id - 1][any_node (sc)->id - 1] = true;
+  sc->sim.partitioned[any_node (sc)->id - 1][any_node (sc)->id - 1] = true;
 }
 
 static void
@@ -187,9 +187,9 @@
   for (int i = 0; i < SIM_MAX_NODES; i++)
     {
       if (directions & 1)
-        sc->sim.cut[n->id - 1][i] = true;
+        sc->sim.partitioned[n->id - 1][i] = true;
       if (directions & 2)
-        sc->sim.cut[i][n->id - 1] = true;
+        sc->sim.partitioned[i][n->id - 1] = true;
     }
   sim_trace (&sc->sim, "node %d isolated, directions %d", (int)n->id, (int)directions);
 }
@@ -233,7 +233,7 @@
   m->members.members_len = kept;
 }
 
-/* Replaces one member, dead or alive, by a new node; without a member to drop the group grows.  */
+/* Replaces one member, up or down, by a new node; when none is dropped the group grows.  */
 static void
 change_members (struct scenario *sc)
 {
@@ -269,7 +269,7 @@
   return lost;
 }
 
-/* Loses a VM for good, or its disk; the next change may replace it.  */
+/* Stops a VM permanently or wipes its disk; the next change may replace it.  */
 static void
 lose_vm (struct scenario *sc)
 {
@@ -286,7 +286,7 @@
   sim_crash (s, n, -1);
   n->restart_at_ms = -1;
   sc->lost[n->id - 1] = true;
-  sim_trace (s, "node %d lost for good", (int)n->id);
+  sim_trace (s, "node %d lost permanently", (int)n->id);
 }
 
 static void
@@ -313,8 +313,8 @@
   raft_members_free (&target);
 }
 
-/* Gives a voter with a replaced disk its vote back under its old identity: a learner first, then a
-   voter with the new store.  */
+/* Restores the vote of a voter with a replaced disk under its old id: a learner first, then a voter
+   with the new store.  */
 static void
 repair_wiped (struct scenario *sc)
 {
@@ -336,9 +336,9 @@
   raft_members_free (&target);
 }
 
-/* A replaced disk is whole again once the committed members give its store the vote.  */
+/* A replaced disk counts as repaired once the committed members give its store the vote.  */
 static void
-note_repaired (struct scenario *sc)
+record_repairs (struct scenario *sc)
 {
   struct sim *s = &sc->sim;
   for (int i = 0; i < s->nodes_len; i++)
@@ -352,7 +352,7 @@
       if (member && member->voter && member->store == stats.store)
         {
           n->wiped = false;
-          sim_trace (s, "node %d has its vote back", (int)n->id);
+          sim_trace (s, "node %d regains its vote", (int)n->id);
         }
     }
 }
@@ -361,17 +361,17 @@
 
 static const fault faults[] = {
   crash,        crash,        crash_in_write, crash_in_write, crash_in_write, fill_disk,
-  partition,    heal,         heal,           heal,           heal,           cut_one_way,
+  partition,    heal,         heal,           heal,           heal,           partition_one_way,
   isolate,      isolate,      transfer,       lose_vm,        transfer,       change_members,
   replace_lost, replace_lost, repair_wiped,   repair_wiped,
 };
 
 static void
-inject (struct scenario *sc)
+inject_faults (struct scenario *sc)
 {
   if (sc->change_done)
     {
-      /* The second VM is lost right after the repair.  */
+      /* A second VM is lost right after the repair.  */
       sc->change_done = false;
       sc->repaired = true;
       lose_vm (sc);
@@ -383,7 +383,7 @@
   faults[rng_below (&sc->rng, sizeof faults / sizeof faults[0])](sc);
 }
 
-/* Stops or isolates a new leader, most often with its first messages still in flight.  */
+/* Stops or isolates a new leader, usually dropping its messages in flight.  */
 static void
 fail_leader (struct scenario *sc, struct sim_node *n)
 {
@@ -397,8 +397,8 @@
     }
   for (int i = 0; i < SIM_MAX_NODES; i++)
     {
-      sc->sim.cut[n->id - 1][i] = true;
-      sc->sim.cut[i][n->id - 1] = true;
+      sc->sim.partitioned[n->id - 1][i] = true;
+      sc->sim.partitioned[i][n->id - 1] = true;
     }
   sim_trace (s, "new leader %d isolated", (int)n->id);
   sc->heal_at_ms = sim_now_ms (s) + rng_between (&sc->rng, 20, 250);
@@ -430,7 +430,7 @@
     }
 }
 
-/* A VM whose disk failed is restarted by its supervisor.  */
+/* Restarts each VM whose disk failed, as its supervisor does.  */
 static void
 restart_stopped (struct scenario *sc)
 {
@@ -447,7 +447,7 @@
 }
 
 static void
-work (struct scenario *sc)
+issue_requests (struct scenario *sc)
 {
   if (rng_chance (&sc->rng, sc->propose_chance))
     for (uint64_t i = rng_below (&sc->rng, 4); i > 0; i--)
@@ -556,12 +556,12 @@
   init_scenario (sc, seed, trace);
   while (!s->failed && sim_now_ms (s) < FAULT_MS)
     {
-      inject (sc);
-      work (sc);
+      inject_faults (sc);
+      issue_requests (sc);
       sim_step (s);
       restart_stopped (sc);
       fail_elections (sc);
-      note_repaired (sc);
+      record_repairs (sc);
     }
   uint64_t before = s->ok;
   if (!s->failed)
--- a/tests/log_sim.c
+++ b/tests/log_sim.c
@@ -49,30 +49,32 @@
 
 /* Grows the per-index tables.  */
 void
-sim_need_index (struct sim *s, uint64_t index)
+sim_reserve_index (struct sim *s, uint64_t index)
 {
-  if (index < s->known)
+  if (index < s->index_capacity)
     return;
   uint64_t size = (index + 1) * 2;
   s->entry_terms = xrealloc (s->entry_terms, size * sizeof *s->entry_terms);
-  s->chains = xrealloc (s->chains, size * sizeof *s->chains);
-  memset (s->entry_terms + s->known, 0, (size - s->known) * sizeof *s->entry_terms);
-  memset (s->chains + s->known, 0, (size - s->known) * sizeof *s->chains);
-  s->known = size;
+  s->state_hashes = xrealloc (s->state_hashes, size * sizeof *s->state_hashes);
+  memset (s->entry_terms + s->index_capacity, 0,
+          (size - s->index_capacity) * sizeof *s->entry_terms);
+  memset (s->state_hashes + s->index_capacity, 0,
+          (size - s->index_capacity) * sizeof *s->state_hashes);
+  s->index_capacity = size;
 }
 
 static void
-need_term (struct sim *s, uint64_t term)
+reserve_term (struct sim *s, uint64_t term)
 {
-  if (term < s->terms)
+  if (term < s->term_capacity)
     return;
   uint64_t size = (term + 1) * 2;
   s->leaders = xrealloc (s->leaders, size * sizeof *s->leaders);
   s->votes = xrealloc (s->votes, size * SIM_MAX_NODES * sizeof *s->votes);
-  memset (s->leaders + s->terms, 0, (size - s->terms) * sizeof *s->leaders);
-  memset (s->votes + s->terms * SIM_MAX_NODES, 0,
-          (size - s->terms) * SIM_MAX_NODES * sizeof *s->votes);
-  s->terms = size;
+  memset (s->leaders + s->term_capacity, 0, (size - s->term_capacity) * sizeof *s->leaders);
+  memset (s->votes + s->term_capacity * SIM_MAX_NODES, 0,
+          (size - s->term_capacity) * SIM_MAX_NODES * sizeof *s->votes);
+  s->term_capacity = size;
 }
 
 /* ---- the network ---- */
@@ -124,12 +126,12 @@
   return top;
 }
 
-/* A vote leaves its node: at most one candidate per term, and only from the store that the members
-   committed so far give the vote to.  */
+/* Checks a vote when it is sent: at most one candidate per term, and only from the store to which
+   the committed members give the vote.  */
 static void
 check_vote (struct sim *s, uint64_t node, uint64_t term, uint64_t candidate)
 {
-  need_term (s, term);
+  reserve_term (s, term);
   uint64_t *vote = &s->votes[term * SIM_MAX_NODES + node - 1];
   if (*vote != 0 && *vote != candidate)
     sim_fail (s, "node %llu voted for %llu and %llu in term %llu", ull (node), ull (*vote),
@@ -178,7 +180,7 @@
     check_vote (s, m->from, m->term, m->to);
   u_int size = (u_int)xdr_sizeof ((xdrproc_t)xdr_raft_message, (void *)m);
   s->sent_bytes[m->from - 1] += size + RPC_HEADER_BYTES;
-  bool lost = s->cut[m->from - 1][m->to - 1] || rng_chance (&s->rng, s->loss);
+  bool lost = s->partitioned[m->from - 1][m->to - 1] || rng_chance (&s->rng, s->loss);
   sim_trace (s, "%llu->%llu type %d term %llu log %llu/%llu commit %llu n %u granted %d%s",
              ull (m->from), ull (m->to), (int)m->type, ull (m->term), ull (m->log_index),
              ull (m->log_term), ull (m->commit), m->entries.entries_len, (int)m->granted,
@@ -207,7 +209,7 @@
 }
 
 static void
-note_members (struct sim *s, const struct group *g, uint64_t index)
+record_members (struct sim *s, const struct group *g, uint64_t index)
 {
   const raft_entry *e = group_entry (g, index);
   raft_members decoded;
@@ -224,10 +226,10 @@
   s->members_index = index;
 }
 
-/* Entries that a snapshot dropped in the flush that committed them: the snapshot has their members.
- */
+/* For entries that a snapshot dropped in the flush that committed them: the snapshot has their
+   members.  */
 static void
-note_snapshot_members (struct sim *s, const struct group *g)
+record_snapshot_members (struct sim *s, const struct group *g)
 {
   if (g->snapshot_index <= s->members_index)
     return;
@@ -240,7 +242,7 @@
 check_leader (struct sim *s, struct sim_node *n)
 {
   uint64_t term = group_term (n->group);
-  need_term (s, term);
+  reserve_term (s, term);
   if (s->leaders[term] == n->id)
     return;
   if (s->leaders[term] != 0)
@@ -271,16 +273,16 @@
   uint64_t commit = group_commit_index (n->group);
   if (commit <= n->checked)
     return;
-  sim_need_index (s, commit);
+  sim_reserve_index (s, commit);
   for (uint64_t i = n->checked + 1; i <= commit; i++)
     {
       uint64_t term = entry_term (n->group, i);
       if (term == 0)
         {
-          note_snapshot_members (s, n->group);
+          record_snapshot_members (s, n->group);
           continue;
         }
-      note_members (s, n->group, i);
+      record_members (s, n->group, i);
       if (s->entry_terms[i] == 0)
         s->entry_terms[i] = term;
       else if (s->entry_terms[i] != term)
@@ -299,7 +301,7 @@
     return;
   if (group_is_leader (n->group))
     check_leader (s, n);
-  /* Also when it has just crashed: what it sent before may depend on what it knew as committed.  */
+  /* Also right after a crash: messages sent before may depend on its commit index.  */
   check_commit (s, n);
   if (n->disk && memory_disk_crashed (n->disk))
     {
@@ -407,7 +409,7 @@
 void
 sim_drop_from (struct sim *s, uint64_t node)
 {
-  /* The heap stays intact: a lost message keeps its place and is skipped on delivery.  */
+  /* The heap stays valid: a dropped message keeps its place and is skipped on delivery.  */
   for (size_t i = 0; i < s->queue_len; i++)
     if (s->queue[i].from == node)
       s->queue[i].to = 0;
@@ -460,7 +462,7 @@
   raft_members_free (&s->bootstrap);
   raft_members_free (&s->members);
   free (s->entry_terms);
-  free (s->chains);
+  free (s->state_hashes);
   free (s->leaders);
   free (s->votes);
   free (s->outcomes);
--- a/tests/log_sim.h
+++ b/tests/log_sim.h
@@ -2,8 +2,8 @@
 
    NOTES
    Everything derives from one seed.  Time is simulated and moves in steps.  After every input to a
-   node sim_check compares it with what any node has ever committed; the first violation is kept in
-   `failure`.  Used by the fault test and by the benchmarks on the paused clock.  */
+   node sim_check compares it with everything that any node has committed; the first violation is
+   kept in `failure`.  Used by the fault test and by the benchmarks on simulated time.  */
 
 #ifndef SASSAFRAS_LOG_SIM_H
 #define SASSAFRAS_LOG_SIM_H
@@ -17,7 +17,7 @@
 
 struct sim;
 
-/* What the proposal of a command reported.  */
+/* The outcome reported for a proposed command.  */
 enum sim_outcome
 {
   SIM_PENDING,
@@ -33,7 +33,7 @@
   uint64_t node;
   uint64_t index; /* last applied */
   uint64_t count;
-  uint64_t chain; /* hash of all commands in order */
+  uint64_t state_hash; /* hash of all commands in order */
 };
 
 struct sim_node
@@ -45,11 +45,11 @@
   struct memory_disk *disk;
   struct group *group; /* NULL while down */
   struct sim_machine machine;
-  double rate; /* of its clock */
+  double rate; /* speed of its clock */
   int64_t offset_ms;
   int64_t restart_at_ms; /* restart time while down, -1 for never */
   uint64_t checked;      /* commit index already checked */
-  bool wiped;            /* lost its disk while it was in use */
+  bool wiped;            /* lost its disk after it was in use */
 };
 
 struct sim_message
@@ -92,7 +92,7 @@
   double duplicate;
   int64_t delay_min_us;
   int64_t delay_max_us;
-  bool cut[SIM_MAX_NODES][SIM_MAX_NODES];             /* from, to */
+  bool partitioned[SIM_MAX_NODES][SIM_MAX_NODES];     /* from, to */
   int64_t delay_us[SIM_MAX_NODES][SIM_MAX_NODES];     /* fixed extra delay */
   int64_t link_free_us[SIM_MAX_NODES][SIM_MAX_NODES]; /* when the link has sent its backlog */
   uint64_t link_bytes_per_s;                          /* 0: unlimited */
@@ -100,15 +100,15 @@
   uint64_t received_bytes[SIM_MAX_NODES];
   int64_t longest_heartbeat_us; /* slowest delivery of an append to a peer */
 
-  uint64_t *entry_terms; /* by index: term of the committed entry */
-  uint64_t *chains;      /* by index: state after it */
-  uint64_t known;        /* capacity of both */
-  uint64_t committed;    /* highest index any node has committed */
-  raft_members members;  /* latest committed list */
+  uint64_t *entry_terms;   /* by index: term of the committed entry */
+  uint64_t *state_hashes;  /* by index: state after it */
+  uint64_t index_capacity; /* capacity of both */
+  uint64_t committed;      /* highest index any node has committed */
+  raft_members members;    /* latest committed list */
   uint64_t members_index;
-  uint64_t *leaders; /* by term */
-  uint64_t *votes;   /* by term and node */
-  uint64_t terms;    /* capacity in terms */
+  uint64_t *leaders;      /* by term */
+  uint64_t *votes;        /* by term and node */
+  uint64_t term_capacity; /* capacity in terms */
 
   uint64_t next_command;
   uint8_t *outcomes; /* by command: what `done` reported */
@@ -136,15 +136,15 @@
 struct sim_node *sim_add_node (struct sim *s, bool diskless); /* A new node with an empty disk. */
 void sim_start (struct sim *s, struct sim_node *n);
 void sim_crash (struct sim *s, struct sim_node *n, int64_t down_ms); /* Power loss. */
-void sim_drop_from (struct sim *s, uint64_t node); /* Loses what NODE has in flight. */
-void sim_wipe (struct sim *s, struct sim_node *n, int64_t down_ms); /* Loses its disk too. */
+void sim_drop_from (struct sim *s, uint64_t node); /* Drops NODE's messages in flight. */
+void sim_wipe (struct sim *s, struct sim_node *n, int64_t down_ms); /* Also empties its disk. */
 void sim_propose (struct sim *s, struct sim_node *n, size_t bytes); /* A numbered command. */
 void sim_read (struct sim *s, struct sim_node *n); /* Confirms leadership, checks freshness. */
-void sim_check_end (struct sim *s); /* Outcomes against the log, after the last step. */
+void sim_check_end (struct sim *s);                /* Compares outcomes with the log at the end. */
 void sim_fail (struct sim *s, const char *format, ...) __attribute__ ((format (printf, 2, 3)));
 void sim_trace (struct sim *s, const char *format, ...) __attribute__ ((format (printf, 2, 3)));
 int64_t sim_now_ms (const struct sim *s);
-void sim_need_index (struct sim *s, uint64_t index); /* Room in the per-index tables. */
-extern const struct machine_ops sim_machine_ops;     /* A hash chain over all commands. */
+void sim_reserve_index (struct sim *s, uint64_t index); /* Grows the per-index tables. */
+extern const struct machine_ops sim_machine_ops;        /* A hash chain over all commands. */
 
 #endif
--- a/tests/log_sim_client.c
+++ b/tests/log_sim_client.c
@@ -1,4 +1,4 @@
-/* The state machine of the simulation, its clients and the checks of what they were told.  */
+/* The state machine of the simulation, its clients and the checks of the outcomes they get.  */
 #include "log_sim.h"
 
 #include <stdlib.h>
@@ -9,7 +9,7 @@
   struct sim *sim;
   uint64_t command;
   uint64_t node;
-  uint64_t floor; /* read: everything acknowledged when it began */
+  uint64_t floor; /* read: highest index acknowledged when it began */
 };
 
 static unsigned long long
@@ -19,7 +19,7 @@
 }
 
 static void
-need_command (struct sim *s, uint64_t command)
+reserve_command (struct sim *s, uint64_t command)
 {
   if (command < s->commands_capacity)
     return;
@@ -45,26 +45,26 @@
     sim_fail (s, "node %llu applied index %llu twice", ull (m->node), ull (index));
   m->index = index;
   m->count++;
-  m->chain = (m->chain ^ number ^ (index << 32)) * 0x9e3779b97f4a7c15ULL;
-  m->chain ^= m->chain >> 29;
-  sim_need_index (s, index);
-  if (s->chains[index] == 0)
-    s->chains[index] = m->chain;
-  else if (s->chains[index] != m->chain)
+  m->state_hash = (m->state_hash ^ number ^ (index << 32)) * 0x9e3779b97f4a7c15ULL;
+  m->state_hash ^= m->state_hash >> 29;
+  sim_reserve_index (s, index);
+  if (s->state_hashes[index] == 0)
+    s->state_hashes[index] = m->state_hash;
+  else if (s->state_hashes[index] != m->state_hash)
     sim_fail (s, "state of node %llu differs at index %llu", ull (m->node), ull (index));
-  need_command (s, number);
+  reserve_command (s, number);
   s->applied[number] = 1;
-  buffer_append (result, &m->chain, sizeof m->chain);
+  buffer_append (result, &m->state_hash, sizeof m->state_hash);
 }
 
 static void
 machine_save (struct machine *machine, struct buffer *out)
 {
   struct sim_machine *m = (struct sim_machine *)machine;
-  uint64_t state[3] = { m->index, m->count, m->chain };
+  uint64_t state[3] = { m->index, m->count, m->state_hash };
   buffer_append (out, state, sizeof state);
   for (uint32_t i = 0; i < m->sim->config.state_bytes; i += 8)
-    buffer_append (out, &m->chain, 8);
+    buffer_append (out, &m->state_hash, 8);
 }
 
 static int
@@ -77,9 +77,9 @@
   memcpy (state, data, sizeof state);
   m->index = state[0];
   m->count = state[1];
-  m->chain = state[2];
+  m->state_hash = state[2];
   m->sim->snapshots_installed++;
-  if (m->index < m->sim->known && m->sim->chains[m->index] != m->chain)
+  if (m->index < m->sim->index_capacity && m->sim->state_hashes[m->index] != m->state_hash)
     sim_fail (m->sim, "snapshot of node %llu differs at index %llu", ull (m->node), ull (m->index));
   return 0;
 }
@@ -103,7 +103,7 @@
       s->ok++;
       if (!s->applied[n])
         sim_fail (s, "command %llu acknowledged but not applied", ull (n));
-      if (len != sizeof m->chain || memcmp (result, &m->chain, len) != 0)
+      if (len != sizeof m->state_hash || memcmp (result, &m->state_hash, len) != 0)
         sim_fail (s, "command %llu got another command's result", ull (n));
       if (m->index > s->acknowledged)
         s->acknowledged = m->index;
@@ -120,7 +120,7 @@
   if (!n || !n->group)
     return;
   uint64_t number = ++s->next_command;
-  need_command (s, number);
+  reserve_command (s, number);
   struct sim_call *call = xcalloc (1, sizeof *call);
   *call = (struct sim_call){ .sim = s, .command = number, .node = n->id };
   if (bytes < sizeof number)
--- a/tests/memory_disk.c
+++ b/tests/memory_disk.c
@@ -120,16 +120,16 @@
 }
 
 static void
-survive (struct memory_disk *d, struct disk_file *f)
+persist_partially (struct memory_disk *d, struct disk_file *f)
 {
   for (size_t i = 0; i < f->writes_len; i++)
     {
       struct pending_write *w = &f->writes[i];
-      uint64_t fate = rng_below (d->rng, 3);
-      size_t len = fate == 0 ? 0 : w->data.len;
-      if (fate == 1)
+      uint64_t outcome = rng_below (d->rng, 3);
+      size_t len = outcome == 0 ? 0 : w->data.len;
+      if (outcome == 1)
         len = (size_t)rng_below (d->rng, w->data.len + 1);
-      if (w->truncate && fate != 0 && f->durable.len > w->offset)
+      if (w->truncate && outcome != 0 && f->durable.len > w->offset)
         f->durable.len = w->offset;
       else if (!w->truncate)
         put_bytes (&f->durable, w->offset, w->data.data, len);
@@ -148,12 +148,12 @@
   d->changes_len = 0;
   memcpy (d->current, d->durable, sizeof d->current);
   for (int i = 0; i < d->files_len; i++)
-    survive (d, &d->files[i]);
+    persist_partially (d, &d->files[i]);
 }
 
-/* Counts one write call; true when it must report failure instead of acting.  */
+/* Counts one write call; true when it must fail without taking effect.  */
 static bool
-interrupted (struct memory_disk *d)
+inject_fault (struct memory_disk *d)
 {
   errno = EIO;
   if (d->crashed)
@@ -173,7 +173,7 @@
 }
 
 static int
-finish (struct memory_disk *d)
+call_result (struct memory_disk *d)
 {
   errno = EIO;
   return d->crashed ? -1 : 0;
@@ -189,7 +189,7 @@
       errno = ENOENT;
       return n && n->name[0] && n->file >= 0 ? n->file : -1;
     }
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   int file = -1;
   for (int i = 0; i < d->files_len && file < 0; i++)
@@ -210,7 +210,7 @@
   f->durable.len = 0;
   f->current.len = 0;
   change_name (d, name, file);
-  return finish (d) ? -1 : file;
+  return call_result (d) ? -1 : file;
 }
 
 static ssize_t
@@ -239,13 +239,13 @@
 {
   struct memory_disk *d = disk_of (io);
   struct disk_file *f = &d->files[file];
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   struct pending_write *w = add_write (f);
   w->offset = offset;
   buffer_append (&w->data, data, len);
   put_bytes (&f->current, offset, data, len);
-  return finish (d) ? -1 : (ssize_t)len;
+  return call_result (d) ? -1 : (ssize_t)len;
 }
 
 static int64_t
@@ -259,47 +259,47 @@
 {
   struct memory_disk *d = disk_of (io);
   struct disk_file *f = &d->files[file];
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   struct pending_write *w = add_write (f);
   w->offset = size;
   w->truncate = true;
   if (f->current.len > size)
     f->current.len = size;
-  return finish (d);
+  return call_result (d);
 }
 
 static int
 disk_sync (struct journal_io *io, int file)
 {
   struct memory_disk *d = disk_of (io);
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   make_durable (&d->files[file]);
-  return finish (d);
+  return call_result (d);
 }
 
 static int
 disk_rename (struct journal_io *io, const char *from, const char *to)
 {
   struct memory_disk *d = disk_of (io);
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   change_name (d, to, find_name (d->current, from)->file);
   set_name (d->current, from, -1);
-  return finish (d);
+  return call_result (d);
 }
 
 static int
 disk_sync_folder (struct journal_io *io)
 {
   struct memory_disk *d = disk_of (io);
-  if (interrupted (d))
+  if (inject_fault (d))
     return -1;
   for (int i = 0; i < d->changes_len; i++)
     set_name (d->durable, d->changes[i].name, d->changes[i].file);
   d->changes_len = 0;
-  return finish (d);
+  return call_result (d);
 }
 
 static int
--- a/tests/memory_disk.h
+++ b/tests/memory_disk.h
@@ -1,8 +1,8 @@
 /* memory_disk: a folder in memory for tests, which can fail or crash at each write point.
 
    NOTES
-   Written data is durable after sync, created and renamed names after sync_folder.  A crash keeps
-   a random part of what was not synced: each write whole, as a prefix, or not at all, and a prefix
+   Written data is durable after sync, created and renamed names after sync_folder.  A crash keeps a
+   random part of the unsynced data: each write completely, as a prefix, or not at all, and a prefix
    of the pending name changes.  */
 
 #ifndef SASSAFRAS_MEMORY_DISK_H
@@ -19,9 +19,9 @@
 void memory_disk_crash_at (struct memory_disk *d, int calls); /* Crash at the n-th write call. */
 void memory_disk_fail_at (struct memory_disk *d, int calls);  /* That call fails, disk full. */
 bool memory_disk_crashed (const struct memory_disk *d);
-void memory_disk_restart (struct memory_disk *d);    /* After a crash: what survived is readable. */
-void memory_disk_crash (struct memory_disk *d);      /* Power loss now, then restart. */
-int memory_disk_calls (const struct memory_disk *d); /* Write calls so far. */
+void memory_disk_restart (struct memory_disk *d); /* After a crash: reads return what survived. */
+void memory_disk_crash (struct memory_disk *d);   /* Power loss now, then restart. */
+int memory_disk_calls (const struct memory_disk *d);                       /* Write calls so far. */
 struct buffer *memory_disk_file (struct memory_disk *d, const char *name); /* NULL if absent. */
 
 #endif
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -1,4 +1,4 @@
-/* Guards against a group that acknowledges what it may lose, answers a proposal twice or never,
+/* Guards against a group that acknowledges data it may lose, completes a proposal twice or never,
    or does not replace its leader in time.  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "log_sim.h"
 
-#define TRIP_30_MS_US 30000
+#define ONE_WAY_DELAY_US 30000
 
 static struct sim_config
 config_of (int voters, int learners)
@@ -36,7 +36,7 @@
 }
 
 static void
-assert_sound (struct sim *s)
+assert_no_violation (struct sim *s)
 {
   sim_check_end (s);
   if (s->failed)
@@ -61,7 +61,7 @@
   sim_propose (&s, sim_leader (&s), 8);
   sim_run_ms (&s, 50);
   assert_int_equal (s.nodes[0].machine.count, 11);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
@@ -93,8 +93,8 @@
   sim_close (&s);
 }
 
-/* Guards against a confirmation that waits for the next heartbeat although a quorum has answered:
-   with one voter down nothing else causes a flush, and workers lost their leases.  */
+/* Guards against a confirmation that waits for the next heartbeat although a quorum has replied:
+   with one voter down nothing else causes a flush, and workers lose their leases.  */
 static void
 test_confirms_as_soon_as_a_quorum_answers (void **state)
 {
@@ -129,8 +129,8 @@
   struct sim_config c = config_of (5, 2);
   (void)state;
   sim_init (&s, &c);
-  s.delay_min_us = TRIP_30_MS_US;
-  s.delay_max_us = TRIP_30_MS_US + 1000;
+  s.delay_min_us = ONE_WAY_DELAY_US;
+  s.delay_max_us = ONE_WAY_DELAY_US + 1000;
   start_all (&s);
   struct sim_node *old = wait_leader (&s, 3000);
   assert_non_null (old);
@@ -145,11 +145,11 @@
   sim_propose (&s, sim_leader (&s), 100);
   sim_run_ms (&s, 500);
   assert_int_equal (s.ok, 21);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
-/* Two survivors that keep splitting the votes once took up to 6.9 s.  */
+/* Guards against repeated split votes between two remaining voters, which took up to 6.9 s.  */
 static void
 test_leader_replaced_within_2_s (void **state)
 {
@@ -161,8 +161,8 @@
       c.seed = seed;
       c.step_ms = 5;
       sim_init (&s, &c);
-      s.delay_min_us = TRIP_30_MS_US;
-      s.delay_max_us = TRIP_30_MS_US + 3000;
+      s.delay_min_us = ONE_WAY_DELAY_US;
+      s.delay_max_us = ONE_WAY_DELAY_US + 3000;
       start_all (&s);
       assert_non_null (wait_leader (&s, 5000));
       sim_run_ms (&s, 1000 + (int64_t)seed * 13);
@@ -174,7 +174,7 @@
           sim_step (&s);
         }
       assert_true (sim_now_ms (&s) - death < 2000);
-      assert_sound (&s);
+      assert_no_violation (&s);
       sim_close (&s);
     }
 }
@@ -193,7 +193,8 @@
   struct sim_node *old = wait_leader (&s, 5000);
   sim_run_ms (&s, 100);
   memory_disk_fail_at (old->disk, 1);
-  s.cut[old->id - 1][0] = s.cut[old->id - 1][1] = s.cut[old->id - 1][2] = true;
+  s.partitioned[old->id - 1][0] = s.partitioned[old->id - 1][1] = s.partitioned[old->id - 1][2]
+      = true;
   sim_propose (&s, old, 8);
   sim_run_ms (&s, 100);
   assert_int_equal (s.ok, 0);
@@ -206,20 +207,20 @@
   sim_propose (&s, sim_leader (&s), 8);
   sim_run_ms (&s, 100);
   assert_int_equal (s.ok, 1);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
 static void
-note_status (void *arg, const struct status *st, const void *result, size_t len)
+store_status (void *arg, const struct status *st, const void *result, size_t len)
 {
   (void)result;
   (void)len;
   *(int *)arg = (int)st->kind;
 }
 
-/* A lost voter is replaced by a new node, then a second VM is lost: the group must go on.  The
-   replaced disk comes back under its old identity and must not vote (checked by the simulation). */
+/* A lost voter is replaced by a new node, then a second VM is lost: the group must keep committing.
+   The replaced disk returns under its old id and must not vote (checked by the simulation).  */
 static void
 test_second_loss_after_repair (void **state)
 {
@@ -244,7 +245,7 @@
   list[0] = (raft_member){ .node = leader->id, .voter = true };
   list[1] = (raft_member){ .node = second->id, .voter = true };
   list[2] = (raft_member){ .node = fresh->id, .voter = true };
-  group_change_members (leader->group, &target, note_status, &changed);
+  group_change_members (leader->group, &target, store_status, &changed);
   sim_run_ms (&s, 3000);
   assert_int_equal (changed, STATUS_OK);
   assert_int_equal (fresh->machine.count, 500);
@@ -254,11 +255,11 @@
   sim_propose (&s, sim_leader (&s), 8);
   sim_run_ms (&s, 500);
   assert_int_equal (s.ok, 501);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
-/* A planned stop hands over without a pause of an election timeout; reads are confirmed.  */
+/* A planned stop transfers leadership without an election timeout; reads are confirmed.  */
 static void
 test_transfer_and_confirm (void **state)
 {
@@ -267,8 +268,8 @@
   struct status st;
   (void)state;
   sim_init (&s, &c);
-  s.delay_min_us = TRIP_30_MS_US;
-  s.delay_max_us = TRIP_30_MS_US;
+  s.delay_min_us = ONE_WAY_DELAY_US;
+  s.delay_max_us = ONE_WAY_DELAY_US;
   start_all (&s);
   struct sim_node *old = wait_leader (&s, 5000);
   sim_run_ms (&s, 1000);
@@ -281,14 +282,14 @@
   sim_run_ms (&s, 300);
   assert_non_null (sim_leader (&s));
   assert_ptr_not_equal (sim_leader (&s), old);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
-/* While a voter is missing, the quorum is not where it usually is: it must not decide where
-   leadership moves.  */
+/* While a voter is unreachable, other voters than usual form the quorum: it must not decide where
+   leadership is transferred.  */
 static void
-test_a_quorum_is_named_only_while_all_voters_answer (void **state)
+test_quorum_voter_reported_only_while_all_voters_answer (void **state)
 {
   struct sim s;
   struct sim_config c = config_of (3, 0);
@@ -299,18 +300,18 @@
   sim_run_ms (&s, 1000);
   sim_read (&s, leader);
   sim_run_ms (&s, 200);
-  uint64_t named = group_quorum_completed_by (leader->group);
-  assert_int_not_equal (named, 0);
-  assert_int_not_equal (named, leader->id);
+  uint64_t reported = group_quorum_completed_by (leader->group);
+  assert_int_not_equal (reported, 0);
+  assert_int_not_equal (reported, leader->id);
   for (int i = 0; i < 3; i++)
-    if (s.nodes[i].id != leader->id && s.nodes[i].id != named)
-      s.cut[i][0] = s.cut[i][1] = s.cut[i][2] = true;
+    if (s.nodes[i].id != leader->id && s.nodes[i].id != reported)
+      s.partitioned[i][0] = s.partitioned[i][1] = s.partitioned[i][2] = true;
   sim_run_ms (&s, 1000);
   assert_ptr_equal (sim_leader (&s), leader);
   sim_read (&s, leader);
   sim_run_ms (&s, 200);
   assert_int_equal (group_quorum_completed_by (leader->group), 0);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
@@ -323,7 +324,7 @@
   uint64_t busiest = 0;
   sim_init (&s, &c);
   s.delay_min_us = 1500;
-  s.delay_max_us = TRIP_30_MS_US;
+  s.delay_max_us = ONE_WAY_DELAY_US;
   start_all (&s);
   assert_non_null (wait_leader (&s, 5000));
   sim_run_ms (&s, 5000);
@@ -335,7 +336,7 @@
       uint64_t bytes = s.sent_bytes[i] + s.received_bytes[i] - before[i];
       busiest = bytes > busiest ? bytes : busiest;
     }
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
   return busiest / 60;
 }
@@ -350,9 +351,9 @@
   assert_true (registry + cell < 4096);
 }
 
-/* Appends behind a snapshot chunk on a 30 Mbit/s link arrive within a heartbeat period.  */
+/* Appends queued behind a snapshot chunk on a 30 Mbit/s link arrive within a heartbeat period.  */
 static void
-test_snapshot_leaves_room_for_heartbeats (void **state)
+test_snapshot_does_not_delay_heartbeats (void **state)
 {
   struct sim s;
   struct sim_config c = config_of (3, 0);
@@ -360,14 +361,14 @@
   c.state_bytes = 2000000;
   c.snapshot_log_bytes = 20000;
   sim_init (&s, &c);
-  s.delay_min_us = TRIP_30_MS_US;
-  s.delay_max_us = TRIP_30_MS_US;
+  s.delay_min_us = ONE_WAY_DELAY_US;
+  s.delay_max_us = ONE_WAY_DELAY_US;
   s.link_bytes_per_s = 30000000 / 8;
   start_all (&s);
   struct sim_node *leader = wait_leader (&s, 5000);
-  struct sim_node *behind = &s.nodes[leader->id % 3];
+  struct sim_node *lagging = &s.nodes[leader->id % 3];
   sim_run_ms (&s, 500);
-  sim_crash (&s, behind, -1);
+  sim_crash (&s, lagging, -1);
   for (int i = 0; i < 200; i++)
     {
       sim_propose (&s, leader, 200);
@@ -375,17 +376,17 @@
     }
   uint64_t elections = s.elections;
   s.longest_heartbeat_us = 0;
-  behind->restart_at_ms = sim_now_ms (&s);
+  lagging->restart_at_ms = sim_now_ms (&s);
   for (int i = 0; i < 100 && s.snapshots_installed == 0; i++)
     {
       sim_propose (&s, leader, 200);
       sim_run_ms (&s, 100);
     }
   sim_run_ms (&s, 500);
-  assert_int_equal (behind->machine.index, leader->machine.index);
+  assert_int_equal (lagging->machine.index, leader->machine.index);
   assert_int_equal (s.elections, elections);
   assert_true (s.longest_heartbeat_us < raft_default_timing ().heartbeat_ms * 1000);
-  assert_sound (&s);
+  assert_no_violation (&s);
   sim_close (&s);
 }
 
@@ -396,7 +397,7 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (test_single_voter),
           cmocka_unit_test (test_single_voter_confirms_itself),
-          cmocka_unit_test (test_a_quorum_is_named_only_while_all_voters_answer),
+          cmocka_unit_test (test_quorum_voter_reported_only_while_all_voters_answer),
           cmocka_unit_test (test_confirms_as_soon_as_a_quorum_answers),
           cmocka_unit_test (test_replicates),
           cmocka_unit_test (test_leader_replaced_within_2_s),
@@ -404,7 +405,7 @@
           cmocka_unit_test (test_second_loss_after_repair),
           cmocka_unit_test (test_transfer_and_confirm),
           cmocka_unit_test (test_idle_traffic),
-          cmocka_unit_test (test_snapshot_leaves_room_for_heartbeats) };
+          cmocka_unit_test (test_snapshot_does_not_delay_heartbeats) };
   log_configure (&quiet);
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_journal.c
+++ b/tests/test_journal.c
@@ -1,5 +1,5 @@
-/* Guards against a journal that loses an acknowledged batch, accepts damage, half replaces a
-   snapshot, shares its folder or goes on after its disk failed.  */
+/* Guards against a journal that loses an acknowledged batch, accepts corrupt data, replaces a
+   snapshot partially, shares its folder or continues after a disk failure.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -78,22 +78,22 @@
 }
 
 static void
-test_torn_tail_is_cut (void **state)
+test_torn_tail_is_truncated (void **state)
 {
   size_t before_last;
   (void)state;
-  for (size_t cut = 1;; cut++)
+  for (size_t tail_bytes = 1;; tail_bytes++)
     {
       struct memory_disk *d = make_log (&before_last);
       struct buffer *log = memory_disk_file (d, "log");
       struct store_state loaded;
       struct status st;
-      if (before_last + cut >= log->len)
+      if (before_last + tail_bytes >= log->len)
         {
           memory_disk_free (d);
           break;
         }
-      log->len = before_last + cut;
+      log->len = before_last + tail_bytes;
       struct store *s = open_store (d);
       assert_int_equal (load (s, &loaded, &st), 0);
       assert_int_equal (loaded.entries_len, BATCHES - 1);
@@ -111,7 +111,7 @@
 }
 
 static void
-test_damage_inside_is_refused (void **state)
+test_inner_damage_is_rejected (void **state)
 {
   size_t before_last;
   (void)state;
@@ -262,8 +262,8 @@
 {
   struct log_config quiet = { .level = LOG_ERROR };
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_torn_tail_is_cut),
-    cmocka_unit_test (test_damage_inside_is_refused),
+    cmocka_unit_test (test_torn_tail_is_truncated),
+    cmocka_unit_test (test_inner_damage_is_rejected),
     cmocka_unit_test (test_crash_at_each_write_point),
     cmocka_unit_test (test_failed_disk_stays_failed),
     cmocka_unit_test (test_folder_is_locked),
