--- a/src/log/group.c
+++ b/src/log/group.c
@@ -91,7 +91,7 @@
 }
 
 static void
-finish_list (struct group *g, struct group_waiters *list, enum status_kind kind, const char *why)
+finish_waiters (struct group *g, struct group_waiters *list, enum status_kind kind, const char *why)
 {
   struct group_waiters taken = STAILQ_HEAD_INITIALIZER (taken);
   struct group_waiter *w;
@@ -124,8 +124,8 @@
 group_finish_all (struct group *g, enum status_kind proposals, const char *why)
 {
   g->pending = 0;
-  finish_list (g, &g->proposed, proposals, why);
-  finish_list (g, &g->confirms, STATUS_NOT_LEADER, why);
+  finish_waiters (g, &g->proposed, proposals, why);
+  finish_waiters (g, &g->confirms, STATUS_NOT_LEADER, why);
   finish_change (g, STATUS_OUTCOME_UNKNOWN, why);
 }
 
@@ -177,7 +177,7 @@
 }
 
 static void
-refuse (group_done done, void *arg, const struct status *st)
+reject (group_done done, void *arg, const struct status *st)
 {
   done (arg, st, NULL, 0);
 }
@@ -198,20 +198,20 @@
   struct status st;
   if (has_failed (g))
     {
-      refuse (done, arg, &g->failure);
+      reject (done, arg, &g->failure);
       return;
     }
   if (group_is_leader (g) && raft_uncommitted_bytes (g->raft) > GROUP_MAX_PENDING_BYTES)
     {
       status_set (&st, STATUS_OVERLOADED, "group %s: %u bytes of commands wait for a quorum",
                   g->config.name, GROUP_MAX_PENDING_BYTES);
-      refuse (done, arg, &st);
+      reject (done, arg, &st);
       return;
     }
   uint64_t index = raft_propose (g->raft, command, len, &st);
   if (index == 0)
     {
-      refuse (done, arg, &st);
+      reject (done, arg, &st);
       return;
     }
   g->proposals++;
@@ -378,12 +378,12 @@
   struct status st;
   if (has_failed (g))
     {
-      refuse (done, arg, &g->failure);
+      reject (done, arg, &g->failure);
       return;
     }
   if (raft_set_target (g->raft, target, &st))
     {
-      refuse (done, arg, &st);
+      reject (done, arg, &st);
       return;
     }
   finish_change (g, STATUS_OUTCOME_UNKNOWN, "replaced by another membership change");
@@ -402,7 +402,7 @@
     }
   status_set (&st, STATUS_NOT_LEADER, "node %llu does not lead group %s",
               (unsigned long long)g->config.node, g->config.name);
-  refuse (done, arg, &st);
+  reject (done, arg, &st);
 }
 
 void
--- a/src/log/journal.c
+++ b/src/log/journal.c
@@ -31,7 +31,7 @@
 };
 
 static int
-refuse (struct journal *j, struct status *st)
+reject_write (struct journal *j, struct status *st)
 {
   return status_set (st, STATUS_DISK_FAILED, "journal %s: %s; all further writes are rejected",
                      j->name, j->reason);
@@ -43,7 +43,7 @@
 {
   j->failed = true;
   snprintf (j->reason, sizeof j->reason, "%s of %s failed: %s", call, file, strerror (errno));
-  return refuse (j, st);
+  return reject_write (j, st);
 }
 
 static int
@@ -250,7 +250,7 @@
 {
   struct journal *j = (struct journal *)s;
   if (j->failed)
-    return refuse (j, st);
+    return reject_write (j, st);
   j->scratch.len = 0;
   frame_begin (&j->scratch);
   batch_encode (&j->scratch, hard, entries, len);
@@ -276,7 +276,7 @@
   struct journal *j = (struct journal *)s;
   struct buffer b;
   if (j->failed)
-    return refuse (j, st);
+    return reject_write (j, st);
   buffer_init (&b);
   frame_begin (&b);
   snapshot_encode (&b, snapshot, hard->store);
--- a/tests/log_faults.c
+++ b/tests/log_faults.c
@@ -470,15 +470,15 @@
         continue;
       const raft_members *m = group_members (s->nodes[i].group);
       int voters = 0;
-      int good = 0;
+      int usable = 0;
       for (u_int k = 0; k < m->members.members_len; k++)
         {
           const raft_member *member = &m->members.members_val[k];
           const struct sim_node *n = sim_node (s, member->node);
           voters += member->voter;
-          good += member->voter && n->group && !n->wiped;
+          usable += member->voter && n->group && !n->wiped;
         }
-      if (voters > 0 && good <= voters / 2)
+      if (voters > 0 && usable <= voters / 2)
         return false;
     }
   return true;
--- a/tests/log_sim.c
+++ b/tests/log_sim.c
@@ -80,7 +80,7 @@
 /* ---- the network ---- */
 
 static bool
-earlier (const struct sim_message *a, const struct sim_message *b)
+is_earlier (const struct sim_message *a, const struct sim_message *b)
 {
   return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
@@ -95,7 +95,7 @@
     }
   m.order = s->order++;
   size_t at = s->queue_len++;
-  while (at > 0 && earlier (&m, &s->queue[(at - 1) / 2]))
+  while (at > 0 && is_earlier (&m, &s->queue[(at - 1) / 2]))
     {
       s->queue[at] = s->queue[(at - 1) / 2];
       at = (at - 1) / 2;
@@ -114,9 +114,9 @@
       size_t child = 2 * at + 1;
       if (child >= s->queue_len)
         break;
-      if (child + 1 < s->queue_len && earlier (&s->queue[child + 1], &s->queue[child]))
+      if (child + 1 < s->queue_len && is_earlier (&s->queue[child + 1], &s->queue[child]))
         child++;
-      if (!earlier (&s->queue[child], &last))
+      if (!is_earlier (&s->queue[child], &last))
         break;
       s->queue[at] = s->queue[child];
       at = child;
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -14,7 +14,7 @@
 #define ONE_WAY_DELAY_US 30000
 
 static struct sim_config
-config_of (int voters, int learners)
+make_config (int voters, int learners)
 {
   return (struct sim_config){ .seed = 7, .voters = voters, .learners = learners };
 }
@@ -47,7 +47,7 @@
 test_single_voter (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (1, 0);
+  struct sim_config c = make_config (1, 0);
   (void)state;
   sim_init (&s, &c);
   start_all (&s);
@@ -79,7 +79,7 @@
 test_single_voter_confirms_itself (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (1, 0);
+  struct sim_config c = make_config (1, 0);
   int confirmed = 0;
   (void)state;
   sim_init (&s, &c);
@@ -96,10 +96,10 @@
 /* Guards against a confirmation that waits for the next heartbeat although a quorum has replied:
    with one voter down nothing else causes a flush, and workers lose their leases.  */
 static void
-test_confirms_as_soon_as_a_quorum_answers (void **state)
+test_confirms_as_soon_as_a_quorum_replies (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   int confirmed = 0;
   (void)state;
   sim_init (&s, &c);
@@ -126,7 +126,7 @@
 test_replicates (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (5, 2);
+  struct sim_config c = make_config (5, 2);
   (void)state;
   sim_init (&s, &c);
   s.delay_min_us = ONE_WAY_DELAY_US;
@@ -157,7 +157,7 @@
   for (uint64_t seed = 1; seed <= 100; seed++)
     {
       struct sim s;
-      struct sim_config c = config_of (seed % 2 ? 3 : 5, 0);
+      struct sim_config c = make_config (seed % 2 ? 3 : 5, 0);
       c.seed = seed;
       c.step_ms = 5;
       sim_init (&s, &c);
@@ -184,7 +184,7 @@
 test_full_disk_stops_acknowledging (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   struct group_stats stats;
   (void)state;
   sim_init (&s, &c);
@@ -225,7 +225,7 @@
 test_second_loss_after_repair (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   raft_member list[3];
   raft_members target = { { 3, list } };
   int changed = -1;
@@ -264,7 +264,7 @@
 test_transfer_and_confirm (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   struct status st;
   (void)state;
   sim_init (&s, &c);
@@ -289,10 +289,10 @@
 /* While a voter is unreachable, other voters than usual form the quorum: it must not decide where
    leadership is transferred.  */
 static void
-test_quorum_voter_reported_only_while_all_voters_answer (void **state)
+test_quorum_voter_reported_only_while_all_voters_reply (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   (void)state;
   sim_init (&s, &c);
   start_all (&s);
@@ -319,7 +319,7 @@
 busiest_idle_bytes_per_s (int voters, int learners)
 {
   struct sim s;
-  struct sim_config c = config_of (voters, learners);
+  struct sim_config c = make_config (voters, learners);
   uint64_t before[SIM_MAX_NODES] = { 0 };
   uint64_t busiest = 0;
   sim_init (&s, &c);
@@ -356,7 +356,7 @@
 test_snapshot_does_not_delay_heartbeats (void **state)
 {
   struct sim s;
-  struct sim_config c = config_of (3, 0);
+  struct sim_config c = make_config (3, 0);
   (void)state;
   c.state_bytes = 2000000;
   c.snapshot_log_bytes = 20000;
@@ -397,8 +397,8 @@
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (test_single_voter),
           cmocka_unit_test (test_single_voter_confirms_itself),
-          cmocka_unit_test (test_quorum_voter_reported_only_while_all_voters_answer),
-          cmocka_unit_test (test_confirms_as_soon_as_a_quorum_answers),
+          cmocka_unit_test (test_quorum_voter_reported_only_while_all_voters_reply),
+          cmocka_unit_test (test_confirms_as_soon_as_a_quorum_replies),
           cmocka_unit_test (test_replicates),
           cmocka_unit_test (test_leader_replaced_within_2_s),
           cmocka_unit_test (test_full_disk_stops_acknowledging),
