--- a/tests/log_sim.c
+++ b/tests/log_sim.c
@@ -49,36 +49,38 @@
 
 /* Grows the per-index tables.  */
 void
-sim_need_index (struct sim *s, uint64_t index)
+sim_reserve_index (struct sim *s, uint64_t index)
 {
-  if (index < s->known)
+  if (index < s->index_capacity)
     return;
   uint64_t size = (index + 1) * 2;
   s->entry_terms = xrealloc (s->entry_terms, size * sizeof *s->entry_terms);
-  s->chains = xrealloc (s->chains, size * sizeof *s->chains);
-  memset (s->entry_terms + s->known, 0, (size - s->known) * sizeof *s->entry_terms);
-  memset (s->chains + s->known, 0, (size - s->known) * sizeof *s->chains);
-  s->known = size;
+  s->state_hashes = xrealloc (s->state_hashes, size * sizeof *s->state_hashes);
+  memset (s->entry_terms + s->index_capacity, 0,
+          (size - s->index_capacity) * sizeof *s->entry_terms);
+  memset (s->state_hashes + s->index_capacity, 0,
+          (size - s->index_capacity) * sizeof *s->state_hashes);
+  s->index_capacity = size;
 }
 
 static void
-need_term (struct sim *s, uint64_t term)
+reserve_term (struct sim *s, uint64_t term)
 {
-  if (term < s->terms)
+  if (term < s->term_capacity)
     return;
   uint64_t size = (term + 1) * 2;
   s->leaders = xrealloc (s->leaders, size * sizeof *s->leaders);
   s->votes = xrealloc (s->votes, size * SIM_MAX_NODES * sizeof *s->votes);
-  memset (s->leaders + s->terms, 0, (size - s->terms) * sizeof *s->leaders);
-  memset (s->votes + s->terms * SIM_MAX_NODES, 0,
-          (size - s->terms) * SIM_MAX_NODES * sizeof *s->votes);
-  s->terms = size;
+  memset (s->leaders + s->term_capacity, 0, (size - s->term_capacity) * sizeof *s->leaders);
+  memset (s->votes + s->term_capacity * SIM_MAX_NODES, 0,
+          (size - s->term_capacity) * SIM_MAX_NODES * sizeof *s->votes);
+  s->term_capacity = size;
 }
 
 /* ---- the network ---- */
 
 static bool
-earlier (const struct sim_message *a, const struct sim_message *b)
+is_earlier (const struct sim_message *a, const struct sim_message *b)
 {
   return a->at_us != b->at_us ? a->at_us < b->at_us : a->order < b->order;
 }
@@ -93,7 +95,7 @@
     }
   m.order = s->order++;
   size_t at = s->queue_len++;
-  while (at > 0 && earlier (&m, &s->queue[(at - 1) / 2]))
+  while (at > 0 && is_earlier (&m, &s->queue[(at - 1) / 2]))
     {
       s->queue[at] = s->queue[(at - 1) / 2];
       at = (at - 1) / 2;
@@ -112,9 +114,9 @@
       size_t child = 2 * at + 1;
       if (child >= s->queue_len)
         break;
-      if (child + 1 < s->queue_len && earlier (&s->queue[child + 1], &s->queue[child]))
+      if (child + 1 < s->queue_len && is_earlier (&s->queue[child + 1], &s->queue[child]))
         child++;
-      if (!earlier (&s->queue[child], &last))
+      if (!is_earlier (&s->queue[child], &last))
         break;
       s->queue[at] = s->queue[child];
       at = child;
@@ -124,12 +126,12 @@
   return top;
 }
 
-/* A vote leaves its node: at most one candidate per term, and only from the store that the members
-   committed so far give the vote to.  */
+/* Checks a vote when it is sent: at most one candidate per term, and only from the store to which
+   the committed members give the vote.  */
 static void
 check_vote (struct sim *s, uint64_t node, uint64_t term, uint64_t candidate)
 {
-  need_term (s, term);
+  reserve_term (s, term);
   uint64_t *vote = &s->votes[term * SIM_MAX_NODES + node - 1];
   if (*vote != 0 && *vote != candidate)
     sim_fail (s, "node %llu voted for %llu and %llu in term %llu", ull (node), ull (*vote),
@@ -178,7 +180,7 @@
     check_vote (s, m->from, m->term, m->to);
   u_int size = (u_int)xdr_sizeof ((xdrproc_t)xdr_raft_message, (void *)m);
   s->sent_bytes[m->from - 1] += size + RPC_HEADER_BYTES;
-  bool lost = s->cut[m->from - 1][m->to - 1] || rng_chance (&s->rng, s->loss);
+  bool lost = s->partitioned[m->from - 1][m->to - 1] || rng_chance (&s->rng, s->loss);
   sim_trace (s, "%llu->%llu type %d term %llu log %llu/%llu commit %llu n %u granted %d%s",
              ull (m->from), ull (m->to), (int)m->type, ull (m->term), ull (m->log_index),
              ull (m->log_term), ull (m->commit), m->entries.entries_len, (int)m->granted,
@@ -207,7 +209,7 @@
 }
 
 static void
-note_members (struct sim *s, const struct group *g, uint64_t index)
+record_members (struct sim *s, const struct group *g, uint64_t index)
 {
   const raft_entry *e = group_entry (g, index);
   raft_members decoded;
@@ -224,10 +226,10 @@
   s->members_index = index;
 }
 
-/* Entries that a snapshot dropped in the flush that committed them: the snapshot has their members.
- */
+/* For entries that a snapshot dropped in the flush that committed them: the snapshot has their
+   members.  */
 static void
-note_snapshot_members (struct sim *s, const struct group *g)
+record_snapshot_members (struct sim *s, const struct group *g)
 {
   if (g->snapshot_index <= s->members_index)
     return;
@@ -240,7 +242,7 @@
 check_leader (struct sim *s, struct sim_node *n)
 {
   uint64_t term = group_term (n->group);
-  need_term (s, term);
+  reserve_term (s, term);
   if (s->leaders[term] == n->id)
     return;
   if (s->leaders[term] != 0)
@@ -271,16 +273,16 @@
   uint64_t commit = group_commit_index (n->group);
   if (commit <= n->checked)
     return;
-  sim_need_index (s, commit);
+  sim_reserve_index (s, commit);
   for (uint64_t i = n->checked + 1; i <= commit; i++)
     {
       uint64_t term = entry_term (n->group, i);
       if (term == 0)
         {
-          note_snapshot_members (s, n->group);
+          record_snapshot_members (s, n->group);
           continue;
         }
-      note_members (s, n->group, i);
+      record_members (s, n->group, i);
       if (s->entry_terms[i] == 0)
         s->entry_terms[i] = term;
       else if (s->entry_terms[i] != term)
@@ -299,7 +301,7 @@
     return;
   if (group_is_leader (n->group))
     check_leader (s, n);
-  /* Also when it has just crashed: what it sent before may depend on what it knew as committed.  */
+  /* Also right after a crash: messages sent before may depend on its commit index.  */
   check_commit (s, n);
   if (n->disk && memory_disk_crashed (n->disk))
     {
@@ -362,7 +364,7 @@
   if (!n->group && n->disk && memory_disk_crashed (n->disk))
     {
       memory_disk_restart (n->disk);
-      n->up_at_ms = sim_now_ms (s) + 100;
+      n->restart_at_ms = sim_now_ms (s) + 100;
       return;
     }
   if (!n->group)
@@ -384,7 +386,7 @@
   n->used = true;
   n->diskless = diskless;
   n->rate = 1.0;
-  n->up_at_ms = -1;
+  n->restart_at_ms = -1;
   n->initialized = true;
   if (!diskless)
     n->disk = memory_disk_create (&s->rng);
@@ -401,13 +403,13 @@
   n->group = NULL;
   if (n->disk)
     memory_disk_crash (n->disk);
-  n->up_at_ms = down_ms < 0 ? -1 : sim_now_ms (s) + down_ms;
+  n->restart_at_ms = down_ms < 0 ? -1 : sim_now_ms (s) + down_ms;
 }
 
 void
 sim_drop_from (struct sim *s, uint64_t node)
 {
-  /* The heap stays intact: a lost message keeps its place and is skipped on delivery.  */
+  /* The heap stays valid: a dropped message keeps its place and is skipped on delivery.  */
   for (size_t i = 0; i < s->queue_len; i++)
     if (s->queue[i].from == node)
       s->queue[i].to = 0;
@@ -460,7 +462,7 @@
   raft_members_free (&s->bootstrap);
   raft_members_free (&s->members);
   free (s->entry_terms);
-  free (s->chains);
+  free (s->state_hashes);
   free (s->leaders);
   free (s->votes);
   free (s->outcomes);
@@ -516,7 +518,7 @@
   for (int i = 0; i < s->nodes_len && !s->failed; i++)
     {
       struct sim_node *n = &s->nodes[i];
-      if (!n->group && n->used && n->up_at_ms >= 0 && sim_now_ms (s) >= n->up_at_ms)
+      if (!n->group && n->used && n->restart_at_ms >= 0 && sim_now_ms (s) >= n->restart_at_ms)
         sim_start (s, n);
       if (!n->group)
         continue;
