--- a/src/workflow/order_exchange.c
+++ b/src/workflow/order_exchange.c
@@ -24,7 +24,7 @@
                                             .send_arg = config->send_arg,
                                             .helper_min_workers = config->helper_min_workers };
   const struct order_server_config server = { .clock = config->clock,
-                                              .calls = config->relayed,
+                                              .calls = config->for_remote_leader,
                                               .send = config->send,
                                               .send_arg = config->send_arg };
   x->relay = order_relay_open (&relay);
--- a/src/workflow/order_exchange.h
+++ b/src/workflow/order_exchange.h
@@ -17,9 +17,9 @@
 struct order_exchange_config
 {
   struct clock *clock;
-  const char *zone;            /* data centre of this VM */
-  struct worker_link *direct;  /* for orders of this VM */
-  struct worker_link *relayed; /* for orders of a remote leader; outcomes: order_server_outcome */
+  const char *zone;                      /* data centre of this VM */
+  struct worker_link *direct;            /* for orders of this VM */
+  struct worker_link *for_remote_leader; /* must report outcomes to order_server_outcome */
   orders_send_fn *send;
   void *send_arg;
   size_t helper_min_workers; /* with fewer workers the leader calls all of them itself */
@@ -28,9 +28,11 @@
 struct order_exchange *order_exchange_open (const struct order_exchange_config *config);
 void order_exchange_close (struct order_exchange *x); /* Call after closing both links. */
 struct worker_link *order_exchange_link (struct order_exchange *x);
-struct order_server *order_exchange_server (struct order_exchange *x); /* For config.relayed. */
-void order_exchange_set_outcome_handler (struct order_exchange *x, worker_outcome_fn *outcome,
-                                         void *arg); /* For outcomes of own relayed orders. */
+struct order_server *order_exchange_server (
+    struct order_exchange *x); /* Reports outcomes of config.for_remote_leader. */
+void order_exchange_set_outcome_handler (
+    struct order_exchange *x, worker_outcome_fn *outcome,
+    void *arg); /* For outcomes of own orders that a helper executed. */
 void order_exchange_peer (struct order_exchange *x, uint64_t node, const char *zone,
                           bool connected); /* A core VM connected or disconnected. */
 void order_exchange_receive (struct order_exchange *x, uint64_t from, const void *data,
