--- a/src/workflow/seeded_group.c
+++ b/src/workflow/seeded_group.c
@@ -298,7 +298,7 @@
                                : find_activity (s, m->node, s->leading_since_ms)->last_active_ms;
       out[n++] = (struct plan_member){ .node = m->node,
                                        .voter = m->voter,
-                                       .silent_ms = now_ms - last_active_ms };
+                                       .inactive_ms = now_ms - last_active_ms };
     }
   for (size_t i = 0; i < s->activity_count && n < PEER_MAX_MEMBERS; i++)
     if (!raft_members_find (members, s->activity[i].node) && s->activity[i].node != s->node
@@ -361,7 +361,7 @@
   if (node == 0)
     return status_set (st, STATUS_BAD_REQUEST, "'%s' is not an IPv4 address", ip);
   if (!group_is_leader (s->group))
-    return status_set (st, STATUS_NOT_LEADER, "this VM is not the leader");
+    return status_set (st, STATUS_NOT_LEADER, "this VM does not lead");
   if (raft_members_find (group_members (s->group), node))
     return 0;
   log_event (LOG_INFO, "join-requested", "peer=%s", ip);
--- a/src/workflow/seeded_group.h
+++ b/src/workflow/seeded_group.h
@@ -8,8 +8,8 @@
    disk but without FIRST_START the store joins under a new store id.  A store that is not empty
    ignores the seeds (see group.h).
 
-   The leader makes every member a voter: a member whose disk was replaced becomes a learner and,
-   once it has caught up, a voter with its new store.  */
+   The leader promotes members to voters as voter_plan decides.  A member whose disk was replaced
+   becomes a learner and, once it has caught up, a voter with its new store.  */
 
 #ifndef SASSAFRAS_SEEDED_GROUP_H
 #define SASSAFRAS_SEEDED_GROUP_H
@@ -63,7 +63,7 @@
 int seeded_group_join (struct seeded_group *s, const char *ip,
                        struct status *st); /* Leader only: adds IP as a learner. */
 void seeded_group_add_peer (struct seeded_group *s,
-                            const char *ip); /* IP accepted our join request: a known peer. */
+                            const char *ip); /* IP accepted this VM's join: lets it connect. */
 bool seeded_group_leader (const struct seeded_group *s,
                           char ip[SEEDED_GROUP_IP_BYTES]); /* False if unknown. */
 
--- a/src/workflow/voter_plan.c
+++ b/src/workflow/voter_plan.c
@@ -1,13 +1,14 @@
 #include "voter_plan.h"
 
-/* Limit for an active follower, the same as the leader's raft_timing.quorum_ms.  */
-#define MEMBER_ACTIVE_MS 1900
+/* A learner inactive for this long is not promoted; equal to the leader's raft_timing.quorum_ms. */
+#define SPARE_INACTIVE_LIMIT_MS 1900
 
 static struct plan_member *
 find_spare (struct plan_member *members, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (!members[i].voter && !members[i].dropped && members[i].silent_ms < MEMBER_ACTIVE_MS)
+    if (!members[i].voter && !members[i].dropped
+        && members[i].inactive_ms < SPARE_INACTIVE_LIMIT_MS)
       return &members[i];
   return NULL;
 }
@@ -28,7 +29,7 @@
     {
       struct plan_member *m = &members[i];
       struct plan_member *spare = find_spare (members, count);
-      if (!spare || !m->voter || m->silent_ms < VOTER_TIMEOUT_MS)
+      if (!spare || !m->voter || m->inactive_ms < VOTER_INACTIVE_LIMIT_MS)
         continue;
       spare->voter = true;
       m->voter = false;
@@ -40,7 +41,7 @@
 drop_lost_learners (struct plan_member *members, size_t count)
 {
   for (size_t i = 0; i < count; i++)
-    if (!members[i].voter && members[i].silent_ms >= LEARNER_TIMEOUT_MS)
+    if (!members[i].voter && members[i].inactive_ms >= LEARNER_INACTIVE_LIMIT_MS)
       members[i].dropped = true;
 }
 
@@ -65,7 +66,7 @@
   if (count_voters (members, count) % 2 == 0)
     promote (members, count);
   for (size_t i = 0; i < count; i++)
-    spares += !members[i].voter && members[i].silent_ms < MEMBER_ACTIVE_MS;
+    spares += !members[i].voter && members[i].inactive_ms < SPARE_INACTIVE_LIMIT_MS;
   if (spares >= 2 && count_voters (members, count) + 2 <= MAX_VOTERS
       && count_voters (members, count) % 2 == 1)
     {
--- a/src/workflow/voter_plan.h
+++ b/src/workflow/voter_plan.h
@@ -4,10 +4,10 @@
    is not notified, and a second VM may fail a few seconds later.
 
    A voter is removed only if a responsive replacement exists, so that no vote is lost needlessly.
-   Rules: a voter silent for VOTER_TIMEOUT_MS is replaced by a responsive learner; an even number of
-   voters gets one more; two learners are promoted if the number of voters is odd and below
-   MAX_VOTERS; a learner silent for LEARNER_TIMEOUT_MS is removed.  member_sync handles a voter
-   whose disk was replaced.  A removed VM requests to join again when it knows no leader.  */
+   Rules: a voter inactive for VOTER_INACTIVE_LIMIT_MS is replaced by a responsive learner; an even
+   number of voters gets one more; two learners are promoted if the number is odd and below
+   MAX_VOTERS; a learner inactive for LEARNER_INACTIVE_LIMIT_MS is removed.  member_sync handles a
+   voter whose disk was replaced.  A removed VM requests to join again when it knows no leader.  */
 
 #ifndef SASSAFRAS_VOTER_PLAN_H
 #define SASSAFRAS_VOTER_PLAN_H
@@ -16,17 +16,17 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Beyond the 1.9 s after which a follower is inactive: a replacement must join within 4 s.  */
-#define VOTER_TIMEOUT_MS 900
-#define LEARNER_TIMEOUT_MS 30000
+/* Counted from 1.9 s after the last answer; the replacement has to vote within 4 s of the loss.  */
+#define VOTER_INACTIVE_LIMIT_MS 900
+#define LEARNER_INACTIVE_LIMIT_MS 30000
 #define MAX_VOTERS 5 /* two of five may fail; more voters only slow commits down */
 
 struct plan_member
 {
   uint64_t node;
-  bool voter;        /* in: current role; out: planned role */
-  bool dropped;      /* out: to be removed */
-  int64_t silent_ms; /* time since it was last active; 0 for this VM */
+  bool voter;          /* in: current role; out: planned role */
+  bool dropped;        /* out: to be removed */
+  int64_t inactive_ms; /* since it was last active (answered within 1.9 s); 0 for this VM */
 };
 
 void voter_plan (struct plan_member *members, size_t count); /* Sets voter and dropped. */
--- a/tests/test_seeded_group.c
+++ b/tests/test_seeded_group.c
@@ -262,7 +262,7 @@
 test_voter_without_replacement_is_kept (void **state)
 {
   struct plan_member members[] = { { .node = 1, .voter = true },
-                                   { .node = 2, .voter = true, .silent_ms = 60000 },
+                                   { .node = 2, .voter = true, .inactive_ms = 60000 },
                                    { .node = 3, .voter = true } };
   (void)state;
   voter_plan (members, 3);
