--- a/src/gen/workflow_proto.x
+++ b/src/gen/workflow_proto.x
@@ -1,5 +1,5 @@
-/* Commands, results and snapshot of a workflow group: jobs with steps that run on called workers.
-   All strings and arrays are bounded here; the codec rejects longer ones.  */
+/* Commands, results and snapshot of a workflow group: jobs with steps that run on workers which
+   the leader calls.  All strings and arrays are bounded here; the codec rejects longer ones.  */
 
 const WORKFLOW_NAME_BYTES = 256;
 const WORKFLOW_PAYLOAD_BYTES = 4000;
@@ -19,7 +19,7 @@
 typedef string workflow_checkpoint<WORKFLOW_CHECKPOINT_BYTES>;
 
 /* Bits of workflow_step.flags.  */
-const WORKFLOW_STEP_LASTING = 1;        /* until the job is cancelled; restarted after every end */
+const WORKFLOW_STEP_LASTING = 1;        /* runs until the job is cancelled; restarts after an end */
 const WORKFLOW_STEP_FILL = 2;           /* uses CPU time left idle by other tasks */
 const WORKFLOW_STEP_SPECULATIVE = 4;    /* copies may run concurrently; the first end counts */
 const WORKFLOW_STEP_CHECKPOINTING = 8;
@@ -40,7 +40,7 @@
   workflow_name image;                  /* tasks of one image behave alike; "": unknown */
   unsigned max_per_worker;              /* 0: no limit */
   unsigned target_ms;                   /* lasting: upper limit of response times; 0: none */
-  unsigned max_unavailable;             /* lasting: tasks we may keep unavailable; 0: none */
+  unsigned max_unavailable;             /* lasting: tasks made unavailable at a time; 0: none */
 };
 
 struct workflow_spec
--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -42,7 +42,7 @@
 #include "task_queue.h"     /* pure: shares and deadlines */
 #include "worker_health.h"  /* pure: bad workers and bad jobs */
 
-/* Workflow: jobs with steps on called workers.  */
+/* Workflow: jobs with steps on workers that the leader calls.  */
 #include "dispatcher.h"       /* pure: what runs where, leases, settled orders */
 #include "leader_placement.h" /* pure: when leadership moves closer to its quorum */
 #include "size_share.h"       /* pure: how often jobs of each size start */
--- a/src/workflow/helper_choice.h
+++ b/src/workflow/helper_choice.h
@@ -6,8 +6,8 @@
 
    A worker is called from its own data centre, by the leader or by a helper there, which also
    avoids traffic between data centres.  Workers in a data centre without a usable helper are
-   distributed over the leader and all usable helpers.  The leader calls a small set of workers
-   directly, which removes one VM that could fail on the path.
+   distributed over the leader and all usable helpers.  If there are fewer workers than
+   order_relay_config.helper_min_workers, the leader calls all of them: one VM less that can fail.
 
    Pure: no I/O, no clock.  */
 
--- a/src/workflow/leader_relay.c
+++ b/src/workflow/leader_relay.c
@@ -14,7 +14,7 @@
 #define CODE_TOO_MANY 429
 #define CODE_UNAVAILABLE 503
 #define CODE_GATEWAY_TIMEOUT 504
-/* At least half of all attempts take one round trip between regions.  */
+/* No attempt with less time left: at least half of them need a round trip between regions.  */
 #define MIN_ATTEMPT_MS 30
 #define ANSWER_MARGIN_MS 60 /* reserved for sending the answer to the caller */
 #define MS_PER_S 1000.0
@@ -196,7 +196,7 @@
              c->request->path, c->attempts, (long long)(now_ms - c->began_ms), c->target,
              ran_text (c));
   http_reply_error (c->request, c->may_have_run ? STATUS_OUTCOME_UNKNOWN : STATUS_NO_QUORUM,
-                    "no answer from a leader after %u attempts", c->attempts);
+                    "no answer of a leader after %u attempts", c->attempts);
   c->request = NULL;
   if (c->waiting)
     free_call (c);
@@ -231,12 +231,12 @@
 {
   struct leader_relay *r = c->relay;
   int64_t now_ms = clock_now_ms (r->config.clock);
-  int64_t last_ms = min_ms (c->deadline_ms, r->finish_by_ms);
+  int64_t due_ms = min_ms (c->deadline_ms, r->finish_by_ms);
   if (c->waiting && !c->may_have_run)
-    last_ms = min_ms (last_ms, max_ms (c->began_ms + RELAY_MIN_WAIT_MS,
-                                       r->last_answer_ms + RELAY_LEADER_LOST_MS));
+    due_ms = min_ms (
+        due_ms, max_ms (c->began_ms + RELAY_MIN_WAIT_MS, r->last_answer_ms + RELAY_LEADER_LOST_MS));
   ev_timer_stop (r->config.loop, &c->deadline_timer);
-  ev_timer_set (&c->deadline_timer, (double)max_ms (last_ms - now_ms, 0) / MS_PER_S, 0.0);
+  ev_timer_set (&c->deadline_timer, (double)max_ms (due_ms - now_ms, 0) / MS_PER_S, 0.0);
   ev_timer_start (r->config.loop, &c->deadline_timer);
 }
 
@@ -251,10 +251,10 @@
 }
 
 void
-leader_relay_finish_by (struct leader_relay *r, int64_t last_ms)
+leader_relay_finish_by (struct leader_relay *r, int64_t finish_by_ms)
 {
   struct relay_call *c;
-  r->finish_by_ms = last_ms;
+  r->finish_by_ms = finish_by_ms;
   LIST_FOREACH (c, &r->calls, link)
   if (c->request)
     arm_deadline (c);
@@ -409,20 +409,21 @@
   c->waiting = false;
   arm_deadline (c);
   /* Exponential timeout: a slow leader gets more time instead of many repeats.  */
-  int64_t limit_ms = (int64_t)RELAY_ATTEMPT_MS << (c->attempts < 3 ? c->attempts : 3);
+  int64_t attempt_timeout_ms = (int64_t)RELAY_ATTEMPT_MS << (c->attempts < 3 ? c->attempts : 3);
   counter_add (c->attempts == 0 ? &relayed : &repeated, 1);
   c->attempts++;
   snprintf (c->target, sizeof c->target, "%s", target);
   snprintf (url, sizeof url, "http://%s:%d", target, r->config.port);
   append_path (url, sizeof url, c->request->path);
-  const struct http_call call = { .method = c->request->method,
-                                  .url = url,
-                                  .headers = c->header_list,
-                                  .body = c->request->body.data,
-                                  .body_len = c->request->body.len,
-                                  .timeout_ms = left_ms < limit_ms ? left_ms : limit_ms,
-                                  .done = on_answer,
-                                  .done_arg = c };
+  const struct http_call call
+      = { .method = c->request->method,
+          .url = url,
+          .headers = c->header_list,
+          .body = c->request->body.data,
+          .body_len = c->request->body.len,
+          .timeout_ms = left_ms < attempt_timeout_ms ? left_ms : attempt_timeout_ms,
+          .done = on_answer,
+          .done_arg = c };
   http_client_send (r->client, &call);
 }
 
--- a/src/workflow/leader_relay.h
+++ b/src/workflow/leader_relay.h
@@ -7,9 +7,9 @@
    until the deadline, each time with twice the timeout of the previous one.
 
    At the deadline the status code tells what is known: 503 with Retry-After if no attempt can have
-   reached a leader, else 504, because the request may have been executed.  The 503 is sent after
-   RELAY_MIN_WAIT_MS if no leader has answered for RELAY_LEADER_LOST_MS, so that the caller can
-   retry early instead of waiting for its deadline.
+   reached a leader, else 504, because the request may have been executed.  The 503 is sent
+   RELAY_MIN_WAIT_MS after the request arrived or RELAY_LEADER_LOST_MS after a leader's last answer,
+   whichever is later, so that the caller can retry before its deadline.
 
    A candidate that did not answer is tried last for RELAY_BACKOFF_MS.  */
 
@@ -32,7 +32,7 @@
 #define RELAY_ATTEMPT_MS 450
 #define RELAY_PROBE_INTERVAL_MS 40    /* without a leader; an election takes about 1.5 s */
 #define RELAY_LEADER_LOST_MS 4000     /* two elections; beyond that another fault is likely */
-#define RELAY_MIN_WAIT_MS 500         /* time for ten probes once the leader counts as lost */
+#define RELAY_MIN_WAIT_MS 500         /* minimum wait before a 503; time for ten probes */
 #define RELAY_BACKOFF_MS 1500         /* for a candidate that did not answer */
 #define RELAY_JOIN_PATH "/v1/join/"   /* followed by the IP of the joining VM */
 #define RELAY_PROBE_PATH "/v1/leader" /* answered 200 by the leader */
@@ -52,7 +52,7 @@
   const char *const *headers; /* names of forwarded headers, NULL-terminated */
   /* Stores the leader known to this VM in IP; NULL on a VM outside the group.  */
   bool (*leader) (void *arg, char ip[SEEDED_GROUP_IP_BYTES]);
-  void (*probe_answered) (void *arg, const char *ip); /* IP leads; may be NULL */
+  void (*probe_answered) (void *arg, const char *ip); /* IP answered 200: it leads; may be NULL */
   void *arg;
 };
 
@@ -61,9 +61,9 @@
 void leader_relay_send (struct leader_relay *r, struct http_request *req,
                         int64_t budget_ms); /* Answers REQ within BUDGET_MS. */
 void leader_relay_finish_by (struct leader_relay *r,
-                             int64_t last_ms); /* Answers current and later requests by LAST_MS. */
+                             int64_t finish_by_ms); /* For current and later requests. */
 void leader_relay_probe (struct leader_relay *r, const char *method,
-                         const char *path); /* Sends a request of this VM to the leader. */
+                         const char *path); /* One at a time; presumed leader or next candidate. */
 int64_t leader_relay_last_answer_ms (const struct leader_relay *r); /* Leader's last answer. */
 void leader_relay_refuse (struct http_request *req, const char *leader_ip,
                           int port); /* 307 to LEADER_IP, or 421 if it is NULL. */
--- a/src/workflow/order_exchange.h
+++ b/src/workflow/order_exchange.h
@@ -28,11 +28,9 @@
 struct order_exchange *order_exchange_open (const struct order_exchange_config *config);
 void order_exchange_close (struct order_exchange *x); /* Call after closing both links. */
 struct worker_link *order_exchange_link (struct order_exchange *x);
-struct order_server *order_exchange_server (
-    struct order_exchange *x); /* Reports outcomes of config.for_remote_leader. */
-void order_exchange_set_outcome_handler (
-    struct order_exchange *x, worker_outcome_fn *outcome,
-    void *arg); /* For outcomes of own orders that a helper executed. */
+struct order_server *order_exchange_server (struct order_exchange *x); /* See for_remote_leader. */
+void order_exchange_set_outcome_handler (struct order_exchange *x, worker_outcome_fn *outcome,
+                                         void *arg); /* For own orders that helpers execute. */
 void order_exchange_peer (struct order_exchange *x, uint64_t node, const char *zone,
                           bool connected); /* A core VM connected or disconnected. */
 void order_exchange_receive (struct order_exchange *x, uint64_t from, const void *data,
--- a/src/workflow/order_relay.c
+++ b/src/workflow/order_relay.c
@@ -12,9 +12,9 @@
 #include "orders_codec.h"
 
 #define MAX_HELPERS 16
-#define HELPER_PROBE_MS 150   /* two and a cross-region round trip fit into the timeout below */
+#define HELPER_PROBE_MS 150   /* two intervals and a cross-region trip fit into the timeout */
 #define HELPER_TIMEOUT_MS 600 /* a helper that has not answered for this long gets no orders */
-/* 700 ms that a helper allows a call beyond its wait, plus the way back and timer delays.  */
+/* ORDER_TIMEOUT_MS or HOLD_SLACK_MS (700 ms, worker_calls.c), the way back and timer delays.  */
 #define ANSWER_TIMEOUT_MS 1300
 #define EXPIRY_INTERVAL_MS 100 /* the timeout need not be exact */
 
@@ -293,9 +293,9 @@
   r->outcome_arg = arg;
 }
 
-/* Fails the pending calls of NODE and those that have expired at NOW_MS.  */
+/* Ends the pending calls of NODE, and those expired at NOW_MS, with WORKER_CALL_UNKNOWN.  */
 static void
-fail_calls (struct order_relay *r, uint64_t node, int64_t now_ms)
+end_calls_unknown (struct order_relay *r, uint64_t node, int64_t now_ms)
 {
   struct pending_call *c = TAILQ_FIRST (&r->call_list);
   while (c)
@@ -341,7 +341,7 @@
   if (connected)
     return;
   clear_items (h);
-  fail_calls (r, node, INT64_MIN);
+  end_calls_unknown (r, node, INT64_MIN);
 }
 
 static void
@@ -421,7 +421,7 @@
   if (now_ms < r->next_expiry_ms)
     return;
   r->next_expiry_ms = now_ms + EXPIRY_INTERVAL_MS;
-  fail_calls (r, 0, now_ms);
+  end_calls_unknown (r, 0, now_ms);
 }
 
 void
--- a/src/workflow/order_server.c
+++ b/src/workflow/order_server.c
@@ -18,7 +18,7 @@
                                   .help = "Orders dropped because they were long on their way." };
 
 /* A leader that sent orders, and its queued answers.  */
-struct leader_answers
+struct leader_entry
 {
   uint64_t node;   /* 0: unused */
   bool answer_due; /* a batch has not been answered yet */
@@ -26,7 +26,6 @@
   struct orders_items items;
 };
 
-/* An order that waits for its outcome.  */
 struct pending_order
 {
   LIST_ENTRY (pending_order) link;
@@ -39,7 +38,7 @@
 {
   struct order_server_config config;
   bool stopping;
-  struct leader_answers leaders[MAX_LEADERS];
+  struct leader_entry leaders[MAX_LEADERS];
   LIST_HEAD (, pending_order) pending;
 };
 
@@ -75,10 +74,10 @@
 }
 
 /* The entry of NODE; if there is none, reuses the least recently used entry.  */
-static struct leader_answers *
+static struct leader_entry *
 find_leader (struct order_server *s, uint64_t node)
 {
-  struct leader_answers *oldest = &s->leaders[0];
+  struct leader_entry *oldest = &s->leaders[0];
   for (size_t i = 0; i < MAX_LEADERS; i++)
     {
       if (s->leaders[i].node == node)
@@ -92,8 +91,9 @@
   return oldest;
 }
 
+/* Records FROM as pending; returns the address of its worker, tagged with the record.  */
 static struct worker_address
-track_order (struct order_server *s, uint64_t leader, const relayed_order *from)
+add_pending_order (struct order_server *s, uint64_t leader, const relayed_order *from)
 {
   struct pending_order *o = xcalloc (1, sizeof *o);
   o->server = s;
@@ -109,7 +109,7 @@
 execute_order (struct order_server *s, uint64_t leader, const relayed_order *from)
 {
   struct worker_link *l = s->config.calls;
-  const struct worker_address to = track_order (s, leader, from);
+  const struct worker_address to = add_pending_order (s, leader, from);
   counter_add (&executed, 1);
   if (from->details.kind == ORDER_START)
     {
@@ -150,7 +150,7 @@
 order_server_receive (struct order_server *s, uint64_t node, const order_batch *batch)
 {
   int64_t now_ms = clock_now_ms (s->config.clock);
-  struct leader_answers *leader = find_leader (s, node);
+  struct leader_entry *leader = find_leader (s, node);
   u_int count = batch->orders.orders_len;
   int64_t age_ms = now_ms - (int64_t)batch->echo;
   leader->answer_due = true;
@@ -166,7 +166,7 @@
 }
 
 static void
-send_answers (struct order_server *s, struct leader_answers *leader, int64_t now_ms)
+send_answers (struct order_server *s, struct leader_entry *leader, int64_t now_ms)
 {
   struct buffer message;
   buffer_init (&message);
@@ -184,7 +184,7 @@
 {
   struct order_server *s = arg;
   struct pending_order *o = outcome->tag;
-  struct leader_answers *leader = find_leader (s, o->leader);
+  struct leader_entry *leader = find_leader (s, o->leader);
   orders_add_answer (&leader->items, o->call, outcome->result, outcome->lists);
   if (orders_items_full (&leader->items))
     send_answers (s, leader, now_ms);
@@ -199,7 +199,7 @@
   int64_t next_ms = -1;
   for (size_t i = 0; i < MAX_LEADERS; i++)
     {
-      struct leader_answers *leader = &s->leaders[i];
+      struct leader_entry *leader = &s->leaders[i];
       int64_t due_ms = leader->sent_ms + ANSWER_INTERVAL_MS - now_ms;
       if (leader->node == 0 || (leader->items.count == 0 && !leader->answer_due))
         continue;
--- a/src/workflow/workflow.c
+++ b/src/workflow/workflow.c
@@ -142,8 +142,8 @@
 {
   uint64_t tasks = 0;
   if (spec->steps.steps_len == 0 || spec->steps.steps_len > WORKFLOW_MAX_STEPS)
-    return status_set (st, STATUS_BAD_REQUEST, "%u steps, allowed: 1 to %d", spec->steps.steps_len,
-                       WORKFLOW_MAX_STEPS);
+    return status_set (st, STATUS_BAD_REQUEST, "%u steps, allowed are 1 to %d",
+                       spec->steps.steps_len, WORKFLOW_MAX_STEPS);
   for (u_int i = 0; i < spec->steps.steps_len; i++)
     {
       if (check_step (spec, i, st) < 0)
--- a/src/workflow/workflow.h
+++ b/src/workflow/workflow.h
@@ -1,8 +1,8 @@
 /* workflow: the replicated state machine of a workflow group, a struct machine.
 
    A job is a list of steps; a step consists of COUNT identical tasks and may depend on earlier
-   steps.  A job with repetitions has one set of tasks per occurrence.  Steps run on called workers
-   (see dispatcher.h); this module contains committed state only.
+   steps.  A job with repetitions has one set of tasks per occurrence.  Steps run on workers that
+   the leader calls (see dispatcher.h); this module contains committed state only.
 
    Task states: WAITING -> PLACED (one run, or two copies of a speculative step) -> WAITING again
    after a non-final end, or DONE, or FAILED.  Every placement increments the task's run number, so
@@ -73,7 +73,7 @@
   uint32_t step;
   uint32_t index;
   enum workflow_task_state state;
-  uint32_t last_run; /* highest run number in use so far */
+  uint32_t last_run; /* highest run number ever used */
   uint32_t failures;
   char *checkpoint; /* NULL: none */
   struct workflow_run *runs[WORKFLOW_MAX_RUNS];
@@ -124,7 +124,7 @@
   void (*placed) (void *arg, struct workflow_run *run);
   /* Called before RUN is freed.  */
   void (*ended) (void *arg, struct workflow_run *run, enum workflow_outcome outcome);
-  /* A run of T that had ended otherwise was DONE; the current runs of T are obsolete.  */
+  /* A run of T that was committed as ended otherwise is DONE; T's current runs are obsolete.  */
   void (*done_late) (void *arg, struct workflow_task *t);
   /* The job is no longer open, or is pruned and about to be freed.  */
   void (*job_ended) (void *arg, struct workflow_job *job);
--- a/src/workflow/workflow_service.c
+++ b/src/workflow/workflow_service.c
@@ -9,9 +9,9 @@
 #include "log.h"
 
 #define ROUND_INTERVAL_MS 300 /* quorum rounds of a leader; three per AUTHORITY_MS */
-/* Voters elect no other leader within 1.3 s after the start of a round; less a margin.  */
+/* Voters elect no other leader for 1.3 s (election_min_ms) after a round began; less 200 ms.  */
 #define AUTHORITY_MS 1100
-#define AUTHORITY_MARGIN_MS 100 /* timer delays of the voters and of this VM */
+#define AUTHORITY_MARGIN_MS 100 /* subtracted in addition: timer delays of voters and this VM */
 
 #define TRANSFER_RETRY_MS 1500 /* if the target did not take over; the duration of an election */
 
@@ -19,7 +19,7 @@
     = { .name = "sassafras_workflow_change_ms", .help = "Time from a change to its outcome." };
 static struct histogram read_times
     = { .name = "sassafras_workflow_read_ms", .help = "Time to confirm leadership for a read." };
-static struct counter elections_won
+static struct counter leaderships
     = { .name = "sassafras_workflow_leaderships_total", .help = "Times this VM became leader." };
 
 /* A command proposed by the dispatcher whose outcome is pending.  */
@@ -37,7 +37,7 @@
 {
   LIST_ENTRY (pending_change) link;
   struct workflow_service *service;
-  uint64_t submitted; /* job id of a submission; 0 for other changes */
+  uint64_t submitted_job; /* id; 0 for changes that submit none */
   workflow_change_done *done;
   void *arg;
   int64_t began_ms;
@@ -63,8 +63,8 @@
   bool stopping;
   bool transferring;        /* sends no more orders until another VM leads */
   int64_t next_transfer_ms; /* next transfer attempt */
-  struct leader_placement placement;
-  bool round_open;
+  struct leader_placement leader_placement;
+  bool round_pending;
   int64_t round_began_ms;
   int64_t next_round_ms;
 };
@@ -111,7 +111,7 @@
   s->config = *config;
   STAILQ_INIT (&s->outcomes);
   LIST_INIT (&s->changes);
-  leader_placement_init (&s->placement);
+  leader_placement_init (&s->leader_placement);
   workflow_init (&s->workflow);
   const struct dispatcher_config dispatcher = { .workflow = &s->workflow,
                                                 .link = config->link,
@@ -182,12 +182,12 @@
 become_leader (struct workflow_service *s, int64_t now_ms)
 {
   s->leading = true;
-  counter_add (&elections_won, 1);
+  counter_add (&leaderships, 1);
   log_event (LOG_INFO, "leadership-gained", "term=%llu applied=%llu",
              (unsigned long long)group_term (s->group),
              (unsigned long long)group_applied_index (s->group));
   dispatcher_become_leader (s->dispatcher, now_ms, group_term (s->group));
-  leader_placement_elected (&s->placement);
+  leader_placement_elected (&s->leader_placement);
 }
 
 static void
@@ -204,15 +204,16 @@
 /* A transfer ends the sending of orders for the rest of the term: the target may be elected at any
    time from then on.  */
 static void
-check_placement (struct workflow_service *s, int64_t now_ms)
+check_leader_placement (struct workflow_service *s, int64_t now_ms)
 {
   int64_t duration_ms = now_ms - s->round_began_ms;
   uint64_t to = group_completed_by (s->group);
-  if (to == 0 || !leader_placement_round (&s->placement, now_ms, duration_ms))
+  if (to == 0 || !leader_placement_round (&s->leader_placement, now_ms, duration_ms))
     return;
   log_event (LOG_INFO, "leadership-moves",
              "to=%llu reason=\"quorum rounds are slow\" shortest_ms=%lld rounds=%u",
-             (unsigned long long)to, (long long)s->placement.shortest_ms, s->placement.rounds);
+             (unsigned long long)to, (long long)s->leader_placement.shortest_ms,
+             s->leader_placement.rounds);
   transfer_leadership (s, to);
 }
 
@@ -222,21 +223,22 @@
   struct workflow_service *s = arg;
   (void)result;
   (void)len;
-  s->round_open = false;
+  s->round_pending = false;
   if (!status_ok (st) || s->transferring)
     return;
   if (!s->leading)
     become_leader (s, clock_now_ms (s->config.clock));
   dispatcher_set_authority (s->dispatcher, s->round_began_ms + AUTHORITY_MS - AUTHORITY_MARGIN_MS);
-  check_placement (s, clock_now_ms (s->config.clock));
+  check_leader_placement (s, clock_now_ms (s->config.clock));
 }
 
 static void
 renew_authority (struct workflow_service *s, int64_t now_ms)
 {
-  if (s->round_open || s->transferring || now_ms < s->next_round_ms || !group_is_leader (s->group))
+  if (s->round_pending || s->transferring || now_ms < s->next_round_ms
+      || !group_is_leader (s->group))
     return;
-  s->round_open = true;
+  s->round_pending = true;
   s->round_began_ms = now_ms;
   s->next_round_ms = now_ms + ROUND_INTERVAL_MS;
   group_confirm_leader (s->group, on_round, s);
@@ -272,7 +274,7 @@
   if (status_ok (st) && !workflow_decode_result (result, len, &r))
     status_set (&outcome, STATUS_INTERNAL, "the result of a change cannot be decoded");
   else if (status_ok (st) && r.status != STATUS_OK)
-    status_set (&outcome, (enum status_kind)r.status, "refused by the workflow state machine");
+    status_set (&outcome, (enum status_kind)r.status, "refused by the state of the jobs");
   histogram_add (&change_times, (double)(clock_now_ms (c->service->config.clock) - c->began_ms));
   LIST_REMOVE (c, link);
   c->done (c->arg, &outcome, r.known);
@@ -289,7 +291,7 @@
     .service = s, .done = done, .arg = arg, .began_ms = clock_now_ms (s->config.clock)
   };
   if (command->kind == WORKFLOW_SUBMIT)
-    c->submitted = command->workflow_command_u.spec.id;
+    c->submitted_job = command->workflow_command_u.spec.id;
   LIST_INSERT_HEAD (&s->changes, c, link);
   buffer_init (&entry);
   workflow_encode (command, &entry);
@@ -302,7 +304,7 @@
 {
   const struct pending_change *c;
   LIST_FOREACH (c, &s->changes, link)
-  if (c->submitted == job)
+  if (c->submitted_job == job)
     return true;
   return false;
 }
--- a/src/workflow/workflow_snapshot.c
+++ b/src/workflow/workflow_snapshot.c
@@ -148,6 +148,5 @@
   bool ok = xdr_workflow_image (&xdr, &image) && load_image ((struct workflow *)m, &image);
   xdr_destroy (&xdr);
   xdr_free ((xdrproc_t)xdr_workflow_image, (char *)&image);
-  return ok ? 0
-            : status_set (st, STATUS_JOURNAL_DAMAGED, "the workflow snapshot cannot be decoded");
+  return ok ? 0 : status_set (st, STATUS_JOURNAL_DAMAGED, "the snapshot of the jobs is malformed");
 }
