--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -471,8 +471,8 @@
   assert_true (fixture_change (f, &c));
 }
 
-/* Failure in kmbpu-sched-grown scale-1, seed 743500850570: a worker left, its lasting tasks needed
-   five cores each, and short tasks took every gap of one or two cores for 12 s.  */
+/* Failure in load test kmbpu-sched-grown scale-1, seed 743500850570: a worker left, its lasting
+   tasks needed five cores each, and short tasks took every gap of one or two cores for 12 s.  */
 static void
 test_a_lasting_task_restarts_beside_short_ones (void **state)
 {
--- a/tests/test_leader_placement.c
+++ b/tests/test_leader_placement.c
@@ -12,15 +12,15 @@
 #define ROUND_INTERVAL_MS 300
 
 /* Simulates ten minutes among COUNT voters; a quorum round takes one round trip to the voter that
-   completes the quorum.  Returns the final leader and counts the transfers in MOVES.  */
+   completes the quorum.  Returns the final leader and counts the TRANSFERS.  */
 static int
-simulate (int count, int latency_ms[VOTERS][VOTERS], int leader, int *moves)
+simulate (int count, int latency_ms[VOTERS][VOTERS], int leader, int *transfers)
 {
-  struct leader_placement places[VOTERS];
+  struct leader_placement placements[VOTERS];
   for (int i = 0; i < count; i++)
-    leader_placement_init (&places[i]);
-  leader_placement_elected (&places[leader]);
-  *moves = 0;
+    leader_placement_init (&placements[i]);
+  leader_placement_elected (&placements[leader]);
+  *transfers = 0;
   for (int64_t now_ms = 1000; now_ms < 600000; now_ms += ROUND_INTERVAL_MS)
     {
       int order[VOTERS] = { 0 };
@@ -33,26 +33,26 @@
         }
       int completes = order[count / 2];
       int64_t duration_ms = 2 * (int64_t)latency_ms[leader][completes] + now_ms % 7;
-      if (!leader_placement_round (&places[leader], now_ms, duration_ms))
+      if (!leader_placement_round (&placements[leader], now_ms, duration_ms))
         continue;
       leader = completes;
-      leader_placement_elected (&places[leader]);
-      ++*moves;
+      leader_placement_elected (&placements[leader]);
+      ++*transfers;
     }
   return leader;
 }
 
 /* The layout of both users: two zones in one region, one zone in another.  */
 static void
-test_leadership_moves_to_the_quorum_region (void **state)
+test_leadership_is_transferred_to_the_quorum_region (void **state)
 {
   int latency_ms[VOTERS][VOTERS] = { { 0, 30, 1 }, { 30, 0, 30 }, { 1, 30, 0 } };
-  int moves;
+  int transfers;
   (void)state;
-  assert_int_not_equal (simulate (3, latency_ms, 1, &moves), 1);
-  assert_int_equal (moves, 1);
-  assert_int_equal (simulate (3, latency_ms, 2, &moves), 2);
-  assert_int_equal (moves, 0);
+  assert_int_not_equal (simulate (3, latency_ms, 1, &transfers), 1);
+  assert_int_equal (transfers, 1);
+  assert_int_equal (simulate (3, latency_ms, 2, &transfers), 2);
+  assert_int_equal (transfers, 0);
 }
 
 static void
@@ -63,10 +63,10 @@
                                      { 1, 1, 0, 30, 30 },
                                      { 30, 30, 30, 0, 1 },
                                      { 30, 30, 30, 1, 0 } };
-  int moves;
+  int transfers;
   (void)state;
-  assert_true (simulate (5, latency_ms, 4, &moves) < 3);
-  assert_int_equal (moves, 1);
+  assert_true (simulate (5, latency_ms, 4, &transfers) < 3);
+  assert_int_equal (transfers, 1);
 }
 
 /* One voter in each of three regions: none is closer, and a transfer stops starts for 1 s.  */
@@ -74,13 +74,13 @@
 test_equal_distances_stop_transfers (void **state)
 {
   int latency_ms[VOTERS][VOTERS] = { { 0, 30, 40 }, { 30, 0, 35 }, { 40, 35, 0 } };
-  int moves;
+  int transfers;
   (void)state;
-  simulate (3, latency_ms, 0, &moves);
-  assert_true (moves <= 6);
+  simulate (3, latency_ms, 0, &transfers);
+  assert_true (transfers <= 6);
 }
 
-/* A slow round, for example after packet loss, is no evidence of distance.  */
+/* Slow rounds, as after packet loss, are no evidence of distance if some rounds are fast.  */
 static void
 test_fast_rounds_prevent_a_transfer (void **state)
 {
@@ -95,9 +95,10 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_leadership_moves_to_the_quorum_region),
-                                      cmocka_unit_test (test_five_voters_choose_the_larger_region),
-                                      cmocka_unit_test (test_equal_distances_stop_transfers),
-                                      cmocka_unit_test (test_fast_rounds_prevent_a_transfer) };
+  const struct CMUnitTest tests[]
+      = { cmocka_unit_test (test_leadership_is_transferred_to_the_quorum_region),
+          cmocka_unit_test (test_five_voters_choose_the_larger_region),
+          cmocka_unit_test (test_equal_distances_stop_transfers),
+          cmocka_unit_test (test_fast_rounds_prevent_a_transfer) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_leader_relay.c
+++ b/tests/test_leader_relay.c
@@ -270,7 +270,7 @@
 }
 
 /* With a refusal after 1.5 s most callers had to retry just before the next leader was elected, and
-   fewer of them were served (kmbpu-sched, score 0.79 to 0.60).  */
+   fewer of them were served (score of load test kmbpu-sched: 0.79 before, 0.60 with it).  */
 static void
 test_request_waits_for_an_election (void **state)
 {
--- a/tests/test_order_relay.c
+++ b/tests/test_order_relay.c
@@ -22,6 +22,7 @@
 #define LEADER 1
 #define HELPER 2
 #define MAX_ITEMS 64
+#define WORKERS 64
 
 /* An order that reached a worker_link.  */
 struct recorded_call
@@ -185,7 +186,7 @@
 advance (struct fixture *f, int64_t ms)
 {
   manual_clock_advance (&f->clock, ms);
-  order_relay_tick (f->relay, MAX_ITEMS);
+  order_relay_tick (f->relay, WORKERS);
 }
 
 /* Runs one loop turn of both VMs and delivers their messages.  */
@@ -211,7 +212,7 @@
                                             .direct = &f->direct.link,
                                             .send = fake_send,
                                             .send_arg = f,
-                                            .helper_min_workers = MAX_ITEMS };
+                                            .helper_min_workers = WORKERS };
   const struct order_server_config server
       = { .clock = &f->clock.clock, .calls = &f->remote.link, .send = fake_send, .send_arg = f };
   f->relay = order_relay_open (&relay);
@@ -347,7 +348,7 @@
 }
 
 static void
-test_disconnected_helper_fails_its_orders_at_once (void **state)
+test_orders_of_disconnected_helper_end_as_unknown_at_once (void **state)
 {
   struct fixture f;
   (void)state;
@@ -410,7 +411,7 @@
   struct fixture f;
   (void)state;
   open_fixture (&f);
-  order_relay_tick (f.relay, MAX_ITEMS - 1);
+  order_relay_tick (f.relay, WORKERS - 1);
   start (&f, "there", 3);
   assert_int_equal (f.direct.count, 1);
   close_fixture (&f);
@@ -444,7 +445,7 @@
     cmocka_unit_test (test_order_is_relayed_and_answered),
     cmocka_unit_test (test_hold_returns_lists_and_mark),
     cmocka_unit_test (test_unanswered_order_ends_as_unknown),
-    cmocka_unit_test (test_disconnected_helper_fails_its_orders_at_once),
+    cmocka_unit_test (test_orders_of_disconnected_helper_end_as_unknown_at_once),
     cmocka_unit_test (test_unresponsive_helper_gets_no_orders),
     cmocka_unit_test (test_stopping_helper_gets_no_orders),
     cmocka_unit_test (test_stale_orders_are_not_executed),
