--- a/src/sassafras.h
+++ b/src/sassafras.h
@@ -36,11 +36,11 @@
 #include "eviction.h"       /* pure: which batch task stops */
 #include "held_polls.h"     /* pure: polls that wait for commands */
 #include "home_cell.h"      /* pure: home of a request id */
-#include "interference.h"   /* pure: harm per service and class */
+#include "interference.h"   /* pure: slowdown per service and class */
 #include "placement.h"      /* pure: which worker */
 #include "scheduler.h"      /* pure: what runs where */
 #include "task_queue.h"     /* pure: shares and deadlines */
-#include "worker_health.h"  /* pure: bad workers and bad jobs */
+#include "worker_health.h"  /* pure: failing workers and failing jobs */
 
 /* Workflow: jobs with steps on called workers.  */
 #include "dispatcher.h"       /* pure: what runs where, leases, settled orders */
--- a/src/scheduler/eviction.c
+++ b/src/scheduler/eviction.c
@@ -9,7 +9,7 @@
 #define NEAR_DEADLINE_FACTOR 8.0
 #define REPEATED_EVICTION_FACTOR                                                                   \
   0.5 /* per earlier eviction, so that the same task is not always chosen */
-#define INTERFERENCE_DISCOUNT 4.0
+#define DISCOUNT_PER_ADDED_SLOWDOWN 4.0
 
 double
 eviction_cost (const struct eviction_candidate *c)
@@ -18,29 +18,29 @@
   cost *= 1 + REPEATED_EVICTION_FACTOR * c->evictions;
   if (c->near_deadline)
     cost *= NEAR_DEADLINE_FACTOR;
-  return cost / (1 + INTERFERENCE_DISCOUNT * c->interference);
+  return cost / (1 + DISCOUNT_PER_ADDED_SLOWDOWN * c->interference);
 }
 
 static uint64_t
-smaller (uint64_t size, uint64_t shortfall)
+min_u64 (uint64_t size, uint64_t shortfall)
 {
   return size < shortfall ? size : shortfall;
 }
 
-/* Fraction of the shortfall that the candidate frees, summed over the resources.  */
+/* Fractions of the shortfall that the candidate frees, summed over the resources.  */
 static double
-freed_fraction (const struct eviction_candidate *c, const struct resource_amount *shortfall)
+freed_fraction_sum (const struct eviction_candidate *c, const struct resource_amount *shortfall)
 {
-  double g = 0;
+  double sum = 0;
   if (shortfall->millicores)
-    g += (double)smaller (c->size.millicores, shortfall->millicores)
-         / (double)shortfall->millicores;
+    sum += (double)min_u64 (c->size.millicores, shortfall->millicores)
+           / (double)shortfall->millicores;
   if (shortfall->memory_mb)
-    g += (double)smaller (c->size.memory_mb, shortfall->memory_mb) / (double)shortfall->memory_mb;
+    sum += (double)min_u64 (c->size.memory_mb, shortfall->memory_mb) / (double)shortfall->memory_mb;
   if (shortfall->accelerators)
-    g += (double)smaller (c->size.accelerators, shortfall->accelerators)
-         / (double)shortfall->accelerators;
-  return g;
+    sum += (double)min_u64 (c->size.accelerators, shortfall->accelerators)
+           / (double)shortfall->accelerators;
+  return sum;
 }
 
 static bool
@@ -52,9 +52,9 @@
 static void
 subtract (struct resource_amount *shortfall, const struct resource_amount *size)
 {
-  shortfall->millicores -= smaller (size->millicores, shortfall->millicores);
-  shortfall->memory_mb -= smaller (size->memory_mb, shortfall->memory_mb);
-  shortfall->accelerators -= smaller (size->accelerators, shortfall->accelerators);
+  shortfall->millicores -= min_u64 (size->millicores, shortfall->millicores);
+  shortfall->memory_mb -= min_u64 (size->memory_mb, shortfall->memory_mb);
+  shortfall->accelerators -= min_u64 (size->accelerators, shortfall->accelerators);
 }
 
 static bool
@@ -70,13 +70,13 @@
 rank (const struct eviction_candidate *c, const struct resource_amount *shortfall,
       bool newest_first)
 {
-  double g = freed_fraction (c, shortfall);
-  if (g <= 0)
+  double sum = freed_fraction_sum (c, shortfall);
+  if (sum <= 0)
     return 0;
-  return newest_first ? 1 + (double)c->started_ms : g / eviction_cost (c);
+  return newest_first ? 1 + (double)c->started_ms : sum / eviction_cost (c);
 }
 
-/* Removes victims that a later, larger victim made redundant, in the order of choice.  */
+/* Removes victims that a later, larger victim made redundant.  */
 static void
 remove_redundant_victims (const struct eviction_candidate *candidates,
                           const struct resource_amount *need, struct eviction_choice *out)
--- a/src/scheduler/eviction.h
+++ b/src/scheduler/eviction.h
@@ -20,7 +20,7 @@
 {
   struct resource_amount size;
   double lost_core_ms; /* processors x time since the last checkpoint */
-  double interference; /* predicted slowdown that it adds to urgent work; 0 is none */
+  double interference; /* predicted added slowdown of urgent work; 0 is none */
   int64_t started_ms;  /* the baseline policy evicts the newest task first */
   void *owner;
   uint32_t evictions; /* number of earlier evictions of this task */
@@ -31,7 +31,7 @@
 {
   size_t victims[EVICTION_MAX_VICTIMS]; /* indexes into the candidates */
   size_t count;
-  double cost;
+  double cost; /* weighted core-ms, sum over the victims */
 };
 
 /* Evictions of one customer in a sliding window of one hour, counted in 12 slots.  */
@@ -41,7 +41,7 @@
   int64_t slot; /* index of the newest slot */
 };
 
-double eviction_cost (const struct eviction_candidate *c); /* Cost of evicting C, > 0. */
+double eviction_cost (const struct eviction_candidate *c); /* Weighted core-ms, > 0. */
 bool eviction_choose (const struct eviction_candidate *candidates, size_t count,
                       const struct resource_amount *need, bool newest_first,
                       struct eviction_choice *out); /* False when NEED cannot be freed. */
--- a/src/scheduler/interference.c
+++ b/src/scheduler/interference.c
@@ -142,10 +142,10 @@
 double
 interference_max_coefficient (const struct interference *m, int class_id)
 {
-  double noise = 0;
+  double largest = 0;
   for (int i = 0; i < m->services.count; i++)
-    noise = fmax (noise, coefficient_at (&m->pairs[i][class_id], INTERFERENCE_LOAD_BANDS - 1));
-  return noise;
+    largest = fmax (largest, coefficient_at (&m->pairs[i][class_id], INTERFERENCE_LOAD_BANDS - 1));
+  return largest;
 }
 
 static void
--- a/src/scheduler/interference.h
+++ b/src/scheduler/interference.h
@@ -18,11 +18,11 @@
 #define INTERFERENCE_MAX_SERVICES 128
 #define INTERFERENCE_MAX_CLASSES 256
 #define INTERFERENCE_LOAD_BANDS 3        /* load below 50%, below 80%, above */
-#define INTERFERENCE_SLOWDOWN_LIMIT 1.12 /* predicted, for placement; the objective is 1.2 */
+#define INTERFERENCE_SLOWDOWN_LIMIT 1.12 /* highest prediction accepted; the objective is 1.2 */
 
 struct interference;
 
-/* Load of one batch class on a worker.  */
+/* Load of one batch class on a worker.  LOAD below is the used share of all its processors.  */
 struct interference_load
 {
   int class_id;
@@ -31,18 +31,20 @@
 
 struct interference *interference_new (void);
 void interference_free (struct interference *m);
-int interference_service (struct interference *m, const char *name); /* Id; the last is shared. */
-int interference_class (struct interference *m, const char *name);   /* Id; the last is shared. */
+int interference_service (struct interference *m,
+                          const char *name); /* Id; names beyond the limit share the last. */
+int interference_class (struct interference *m,
+                        const char *name); /* Id; names beyond the limit share the last. */
 void interference_learn (struct interference *m, int service, const struct interference_load *mix,
                          size_t count, double load,
-                         double slowdown); /* MIX ran at the time of the sample. */
+                         double slowdown); /* MIX and LOAD at the time of the sample. */
 double interference_predict (const struct interference *m, int service,
                              const struct interference_load *mix, size_t count,
                              double load); /* Predicted slowdown, 1 is none. */
 double interference_coefficient (const struct interference *m, int service, int class_id,
                                  double load);
 double interference_max_coefficient (const struct interference *m,
-                                     int class_id); /* Largest coefficient over all services. */
+                                     int class_id); /* Largest over services, highest load band. */
 bool interference_is_confident (const struct interference *m, int service,
                                 int class_id); /* True with enough recent samples. */
 void interference_decay (struct interference *m,
--- a/src/scheduler/placement.c
+++ b/src/scheduler/placement.c
@@ -2,15 +2,15 @@
 
 #include <math.h>
 
-/* Weights of the score.  Interference dominates: 0.1 of slowdown outweighs any packing.  */
+/* Weights of the score.  Interference dominates: 0.1 of added slowdown outweighs any packing.  */
 #define INTERFERENCE_WEIGHT 20.0
 #define RACK_WEIGHT 0.5
 #define HEALTH_WEIGHT 1.0
 #define RESOURCE_BALANCE_WEIGHT 1.0
 #define BIN_PACKING_WEIGHT 0.3
 #define URGENT_SPREAD_WEIGHT 0.2
-/* Urgent tasks and harmless classes use workers without urgent work last, which keeps these for
-   noisy batch classes.  */
+/* Keeps workers without urgent work for noisy batch classes: urgent tasks and harmless classes use
+   such workers last.  */
 #define NON_URGENT_WORKER_WEIGHT 0.8
 #define ACCELERATOR_WEIGHT 0.5
 
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -16,7 +16,7 @@
 
 #define PLACEMENT_SAMPLE_SIZE 64
 #define PLACEMENT_NONE SIZE_MAX
-#define PLACEMENT_REFUSED 1e9 /* interference at which a worker is not used at all */
+#define PLACEMENT_REFUSED 1e9 /* added slowdown at which a worker is not used at all */
 
 struct placement_row
 {
@@ -41,7 +41,7 @@
   uint32_t max_per_rack;       /* 0: no limit */
   const uint32_t *rack_counts; /* tasks of the job per rack, or NULL */
   bool first_fit;              /* baseline policy */
-  /* Predicted slowdown of urgent work on worker ROW; NULL: none.  */
+  /* Predicted added slowdown of urgent work on worker ROW, or PLACEMENT_REFUSED; NULL: none.  */
   double (*interference) (void *ctx, size_t row);
   /* True when the task must not use worker ROW because it failed there; NULL: never.  */
   bool (*avoid) (void *ctx, size_t row);
--- a/src/scheduler/scheduler.c
+++ b/src/scheduler/scheduler.c
@@ -9,8 +9,8 @@
 #define MAX_BATCH 512
 #define WORKER_SCAN_PERIOD_MS 250
 #define MODEL_DECAY_PERIOD_MS 60000
-/* Halves the confidence in an interference estimate in about 20 minutes without samples.  */
-#define DECAY_FACTOR 0.966
+/* Per MODEL_DECAY_PERIOD_MS: halves an estimate's confidence in about 20 min without samples.  */
+#define MODEL_DECAY_FACTOR 0.966
 #define MAX_OUTBOX_COMMANDS 8192
 
 bool
@@ -28,7 +28,7 @@
 void
 sched_invariant_failed (const char *rule)
 {
-  log_line (LOG_ERROR, "scheduler: invalid state: %s", rule);
+  log_line (LOG_ERROR, "sched: invariant violated: %s", rule);
   abort ();
 }
 
@@ -89,7 +89,7 @@
   c->urgent = urgent;
   c->processor_ratio = 1;
   c->memory_ratio = 1;
-  c->use = 1;
+  c->usage_ratio = 1;
   c->id = urgent ? interference_service (s->model, strchr (key, ' ') + 1)
                  : interference_class (s->model, strchr (key, ' ') + 1);
   cell_map_add (&s->class_map, &c->node, hash);
@@ -410,15 +410,15 @@
     {
       s->scan_ms = s->now_ms;
       sched_scan_workers (s);
-      sched_guard_plans (s);
+      sched_enforce_plans (s);
     }
   if (s->now_ms - s->decay_ms >= MODEL_DECAY_PERIOD_MS)
     {
       s->decay_ms = s->now_ms;
-      interference_decay (s->model, DECAY_FACTOR);
+      interference_decay (s->model, MODEL_DECAY_FACTOR);
     }
   if (s->data_centre_out)
-    sched_guard_drain (s);
+    sched_drain_data_centre (s);
   if (s->outbox_count - s->outbox_done < MAX_OUTBOX_COMMANDS)
     sched_place_round (s);
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -17,7 +17,7 @@
    Leases: the answer to a poll renews the worker's lease for lease_ms counted from when the
    worker sent the poll.  Only a leader confirmed by a quorum renews it
    (scheduler_confirm_leadership): an unconfirmed answer carries lease 0.  A worker stops all its
-   tasks when its lease ends, and the tasks marked covered when covered_lease_ms ends.  Capacity
+   tasks when its lease ends, and those with a standby copy when covered_lease_ms ends.  Capacity
    becomes free only after a confirmed stop, or after the worker was silent for lease + margin.
 
    Reports: a worker repeats a report in each poll until a FORGET command for that task and epoch
@@ -32,9 +32,9 @@
    does not free the capacity of the earlier one's tasks: that takes lease + margin, because a
    process of the earlier incarnation may still run.
 
-   Lowered plans: the customer's waiting tasks stay queued; its batch tasks are throttled to the
-   new share of processors; after SCHEDULER_PLAN_GRACE_MS, and at once for memory and
-   accelerators, batch tasks are evicted within the eviction budget.  Urgent tasks keep running.
+   Lowered plans, in this order: the customer's waiting tasks stay queued; its batch tasks are
+   throttled to the new share of processors; after SCHEDULER_PLAN_GRACE_MS, and at once for memory
+   and accelerators, batch tasks are evicted within the eviction budget.  Urgent tasks keep running.
 
    Data centre out: batch tasks write a checkpoint, stop and are offered to cells with free
    capacity; urgent replicas run on until a replacement runs elsewhere.
@@ -246,10 +246,10 @@
 bool scheduler_next_proposal (struct scheduler *s, int64_t now_ms,
                               struct scheduler_proposal *out); /* False when there is none. */
 void scheduler_proposal_done (struct scheduler *s, int64_t now_ms, uint64_t id,
-                              bool applied);            /* Applied, or certain never to be. */
-const char *scheduler_next_ready (struct scheduler *s); /* Next worker with commands, or NULL. */
+                              bool applied);            /* Applied, or can no longer be; unused. */
+const char *scheduler_next_ready (struct scheduler *s); /* Next worker to answer, or NULL. */
 bool scheduler_has_commands (const struct scheduler *s,
-                             const char *worker); /* True when its poll should be answered now. */
+                             const char *worker); /* True when its poll is to be answered now. */
 int scheduler_answer (struct scheduler *s, int64_t now_ms, const char *worker,
                       struct worker_answer *out,
                       struct status *st); /* Answers the worker's last poll with its commands. */
--- a/src/scheduler/scheduler_answer.c
+++ b/src/scheduler/scheduler_answer.c
@@ -7,7 +7,7 @@
 #define RETRY_MS 500
 #define THROTTLE_REPEATS 3
 #define PREEMPT_GRACE_MS 500
-#define MOVE_GRACE_MS 10000
+#define HARM_OR_CLOSED_GRACE_MS 10000
 #define DRAIN_GRACE_MS 30000
 #define SERVICE_GRACE_MS 5000
 
@@ -28,8 +28,8 @@
 }
 
 /* A leader that was replaced without noticing may lag behind the log.  It must not make a worker
-   drop a report that the log lacks.  It therefore acts only on epochs that its own log has moved
-   past, and on tasks it does not know only while a quorum confirms it.  */
+   drop a report that the log lacks.  It therefore acts only on epochs that its own log has reached,
+   and on tasks it does not know only while a quorum confirms it.  */
 static void
 answer_unmatched (struct scheduler *s, const struct sched_worker *w)
 {
@@ -37,7 +37,7 @@
   for (size_t i = 0; i < w->unmatched_count; i++)
     {
       const struct sched_unmatched *g = &w->unmatched_tasks[i];
-      if (g->superseded || (g->unknown && confirmed))
+      if (g->epoch_in_log || (g->unknown && confirmed))
         add_command (s, g->running ? WORKER_STOP : WORKER_FORGET, g->task, g->epoch);
     }
 }
@@ -94,7 +94,7 @@
   if (t->stop == CELL_STOP_PREEMPT)
     limit = PREEMPT_GRACE_MS;
   else if (t->stop == CELL_STOP_HARM || t->stop == CELL_STOP_CLOSED)
-    limit = MOVE_GRACE_MS;
+    limit = HARM_OR_CLOSED_GRACE_MS;
   return t->job->spec.checkpoint_ms <= limit ? t->job->spec.checkpoint_ms : 0;
 }
 
@@ -119,12 +119,12 @@
   if (st->limit_sent != st->limit_millicores)
     {
       st->limit_sent = st->limit_millicores;
-      st->limit_repeats = THROTTLE_REPEATS;
+      st->throttle_repeats = THROTTLE_REPEATS;
     }
-  else if (st->limit_repeats == 0)
+  else if (st->throttle_repeats == 0)
     return;
   else
-    st->limit_repeats--;
+    st->throttle_repeats--;
   struct worker_command *c = add_command (s, WORKER_THROTTLE, t->id, t->epoch);
   c->limit_millicores = st->limit_millicores ? st->limit_millicores : t->job->spec.size.millicores;
 }
@@ -146,7 +146,7 @@
     answer_running (s, st);
 }
 
-/* True until every task whose standby copy owns the work has stopped: its lease must expire.  */
+/* True while W may run a task that a standby copy took over: its covered lease must expire.  */
 static bool
 runs_closed_task (const struct sched_worker *w)
 {
--- a/src/scheduler/scheduler_guard.c
+++ b/src/scheduler/scheduler_enforce.c
@@ -11,33 +11,34 @@
 #define THROTTLE_SAMPLES 2
 #define RELAX_SAMPLES 4
 #define ACTION_SETTLE_MS 1000 /* from an action to the first sample that can show its effect */
-#define MAX_ARRIVAL_LIMITS 8
+#define MAX_THROTTLES_PER_ARRIVAL 8
 #define MIN_KEPT_SHARE 0.25 /* of its processors, for a task throttled by the estimate */
-#define OVERSIZE_FACTOR 1.15
-#define OVERSIZE_SAMPLES 2
-#define OVERSIZE_EVICT_SAMPLES 6
-#define MIN_LIMIT_MILLICORES 100
-#define MIN_CHECKPOINT_MS 60000
-#define MAX_CHECKPOINT_MS 600000
+#define OVERSIZE_USAGE_RATIO 1.15
+#define OVERSIZE_POLLS 2 /* consecutive, before the allocation grows or the task is throttled */
+#define OVERSIZE_EVICT_POLLS 6
+#define MIN_THROTTLE_MILLICORES 100
+#define MIN_CHECKPOINT_INTERVAL_MS 60000
+#define MAX_CHECKPOINT_INTERVAL_MS 600000
 #define CHECKPOINT_INTERVAL_FACTOR 20 /* checkpoints take at most 1/20 of the time */
 #define PREEMPT_GRACE_MS 500
 #define NEAR_DEADLINE_MS 60000
+#define UNKNOWN_CUSTOMER_THROTTLE_RATIO 0.1
 #define DRAIN_PERIOD_MS 500
 
 void
-sched_throttle (struct scheduler *s, struct sched_task *st, enum sched_limit_reason reason,
+sched_throttle (struct scheduler *s, struct sched_task *st, enum sched_throttle_reason reason,
                 uint32_t millicores)
 {
   struct sched_worker *w = st->worker;
-  if (reason == SCHED_LIMIT_NONE)
+  if (reason == SCHED_THROTTLE_NONE)
     millicores = 0;
-  else if (millicores < MIN_LIMIT_MILLICORES)
-    millicores = MIN_LIMIT_MILLICORES;
+  else if (millicores < MIN_THROTTLE_MILLICORES)
+    millicores = MIN_THROTTLE_MILLICORES;
   if (st->limit_millicores == millicores)
     return;
   if (millicores)
     s->stats.throttles++;
-  st->limit = reason;
+  st->throttle_reason = reason;
   st->limit_millicores = millicores;
   sched_mix_remove (w, st);
   sched_mix_add (w, st);
@@ -73,7 +74,8 @@
   out->owner = st;
   out->evictions = t->evictions;
   out->started_ms = st->run_from_ms;
-  int64_t since = st->checkpoint_ms > st->run_from_ms ? st->checkpoint_ms : st->run_from_ms;
+  int64_t since
+      = st->last_checkpoint_ms > st->run_from_ms ? st->last_checkpoint_ms : st->run_from_ms;
   bool quick = checkpoint_ms > 0 && checkpoint_ms <= PREEMPT_GRACE_MS;
   if (since > 0 && !quick)
     out->lost_core_ms = (double)(s->now_ms - since) * (double)st->allocated.millicores / 1000.0;
@@ -107,7 +109,7 @@
 }
 
 static void
-escalate (struct scheduler *s, struct sched_worker *w, uint32_t slowdown)
+escalate (struct scheduler *s, struct sched_worker *w, uint32_t slowdown_milli)
 {
   struct sched_task *st = worst_neighbour (s, w, false);
   if (!st)
@@ -115,13 +117,13 @@
   w->action_at_ms = s->now_ms;
   w->slow_samples = 0;
   uint32_t allocated = (uint32_t)st->allocated.millicores;
-  if (st->limit != SCHED_LIMIT_INTERFERENCE)
-    sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE,
-                    slowdown > SEVERE_SLOWDOWN_MILLI ? allocated / 4 : allocated / 2);
+  if (st->throttle_reason != SCHED_THROTTLE_INTERFERENCE)
+    sched_throttle (s, st, SCHED_THROTTLE_INTERFERENCE,
+                    slowdown_milli > SEVERE_SLOWDOWN_MILLI ? allocated / 4 : allocated / 2);
   else if (sched_may_evict (s, st, 0))
     sched_stop (s, st, CELL_STOP_HARM);
   else
-    sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE, allocated / 8);
+    sched_throttle (s, st, SCHED_THROTTLE_INTERFERENCE, allocated / 8);
 }
 
 /* Largest slowdown that ST adds to one service on W.  */
@@ -134,7 +136,7 @@
   for (size_t i = 0; i < w->service_count; i++)
     worst = fmax (worst, interference_coefficient (s->model, w->services[i].id, st->cls->id,
                                                    w->used_millicores / total));
-  return worst * st->mix_use / total;
+  return worst * st->mix_millicores / total;
 }
 
 /* Throttles noisy tasks beside a new urgent task by the estimate, before the first delayed sample
@@ -142,15 +144,15 @@
 void
 sched_throttle_for_arrival (struct scheduler *s, struct sched_worker *w)
 {
-  for (int i = 0; i < MAX_ARRIVAL_LIMITS; i++)
+  for (int i = 0; i < MAX_THROTTLES_PER_ARRIVAL; i++)
     {
       double excess = sched_worst_predicted (s, w) - INTERFERENCE_SLOWDOWN_LIMIT;
       struct sched_task *st = excess > 0 ? worst_neighbour (s, w, true) : NULL;
       double interference = st ? worst_interference_of (s, w, st) : 0;
-      if (!st || interference <= 0 || st->limit == SCHED_LIMIT_INTERFERENCE)
+      if (!st || interference <= 0 || st->throttle_reason == SCHED_THROTTLE_INTERFERENCE)
         return;
       double keep = fmax (1 - excess / interference, MIN_KEPT_SHARE);
-      sched_throttle (s, st, SCHED_LIMIT_INTERFERENCE, (uint32_t)(keep * st->mix_use));
+      sched_throttle (s, st, SCHED_THROTTLE_INTERFERENCE, (uint32_t)(keep * st->mix_millicores));
       w->action_at_ms = s->now_ms;
     }
 }
@@ -161,7 +163,7 @@
 {
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
-  if (st->limit == SCHED_LIMIT_INTERFERENCE)
+  if (st->throttle_reason == SCHED_THROTTLE_INTERFERENCE)
     break;
   if (!st)
     return;
@@ -171,11 +173,11 @@
   bool acceptable = sched_batch_interference (s, w, st) < PLACEMENT_REFUSED;
   sched_mix_add (w, st);
   if (acceptable)
-    sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
+    sched_throttle (s, st, SCHED_THROTTLE_NONE, 0);
 }
 
 static uint32_t
-worst_slowdown (const struct sched_worker *w)
+worst_slowdown_milli (const struct sched_worker *w)
 {
   uint32_t worst = 0;
   const struct sched_task *st;
@@ -187,9 +189,9 @@
 
 /* One action per measurement delay: only samples taken after the last action count.  */
 static void
-guard_interference (struct scheduler *s, struct sched_worker *w, int64_t at_ms)
+enforce_slowdown (struct scheduler *s, struct sched_worker *w, int64_t at_ms)
 {
-  uint32_t worst = worst_slowdown (w);
+  uint32_t worst = worst_slowdown_milli (w);
   if (worst == 0 || at_ms < w->action_at_ms + ACTION_SETTLE_MS)
     return;
   w->slow_samples = worst > THROTTLE_SLOWDOWN_MILLI ? w->slow_samples + 1 : 0;
@@ -211,64 +213,65 @@
     want.memory_mb = st->used_memory_mb;
   if (!sched_grow_allocation (s, st, &want))
     return false;
-  if (st->limit == SCHED_LIMIT_SIZE)
-    sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
-  st->oversize_samples = 0;
+  if (st->throttle_reason == SCHED_THROTTLE_SIZE)
+    sched_throttle (s, st, SCHED_THROTTLE_NONE, 0);
+  st->oversize_polls = 0;
   return true;
 }
 
 /* Oversize tasks are allocated more if possible, else throttled, and finally evicted.  */
 static void
-guard_size (struct scheduler *s, struct sched_task *st)
+enforce_size (struct scheduler *s, struct sched_task *st)
 {
-  bool processors = st->used_millicores > OVERSIZE_FACTOR * (double)st->allocated.millicores;
-  bool memory = st->used_memory_mb > OVERSIZE_FACTOR * (double)st->allocated.memory_mb;
-  bool limited = st->limit == SCHED_LIMIT_SIZE;
-  if (!processors && !memory && !limited)
+  bool processors = st->used_millicores > OVERSIZE_USAGE_RATIO * (double)st->allocated.millicores;
+  bool memory = st->used_memory_mb > OVERSIZE_USAGE_RATIO * (double)st->allocated.memory_mb;
+  bool throttled = st->throttle_reason == SCHED_THROTTLE_SIZE;
+  if (!processors && !memory && !throttled)
     {
-      st->oversize_samples = 0;
+      st->oversize_polls = 0;
       return;
     }
-  if ((++st->oversize_samples >= OVERSIZE_SAMPLES || limited) && grow_to_use (s, st))
+  if ((++st->oversize_polls >= OVERSIZE_POLLS || throttled) && grow_to_use (s, st))
     return;
-  if (st->oversize_samples >= OVERSIZE_SAMPLES && processors && st->limit == SCHED_LIMIT_NONE)
-    sched_throttle (s, st, SCHED_LIMIT_SIZE, (uint32_t)st->allocated.millicores);
+  if (st->oversize_polls >= OVERSIZE_POLLS && processors
+      && st->throttle_reason == SCHED_THROTTLE_NONE)
+    sched_throttle (s, st, SCHED_THROTTLE_SIZE, (uint32_t)st->allocated.millicores);
   if (sched_is_urgent (st) || !sched_may_evict (s, st, 0) || (!processors && !memory))
     return;
-  if (st->oversize_samples >= (memory ? OVERSIZE_SAMPLES : OVERSIZE_EVICT_SAMPLES))
+  if (st->oversize_polls >= (memory ? OVERSIZE_POLLS : OVERSIZE_EVICT_POLLS))
     sched_stop (s, st, CELL_STOP_OVERSIZE);
 }
 
 static void
-ask_checkpoint (struct scheduler *s, struct sched_task *st)
+request_checkpoint (struct scheduler *s, struct sched_task *st)
 {
   uint32_t cost = st->t->job->spec.checkpoint_ms;
   if (cost == 0 || sched_is_urgent (st) || st->t->state != CELL_RUNNING || st->run_from_ms == 0)
     return;
   int64_t interval = (int64_t)cost * CHECKPOINT_INTERVAL_FACTOR;
-  if (interval < MIN_CHECKPOINT_MS)
-    interval = MIN_CHECKPOINT_MS;
-  if (interval > MAX_CHECKPOINT_MS)
-    interval = MAX_CHECKPOINT_MS;
-  if (s->now_ms - st->checkpoint_ms < interval)
+  if (interval < MIN_CHECKPOINT_INTERVAL_MS)
+    interval = MIN_CHECKPOINT_INTERVAL_MS;
+  if (interval > MAX_CHECKPOINT_INTERVAL_MS)
+    interval = MAX_CHECKPOINT_INTERVAL_MS;
+  if (s->now_ms - st->last_checkpoint_ms < interval)
     return;
   st->checkpoint_due = true;
-  st->checkpoint_ms = s->now_ms;
+  st->last_checkpoint_ms = s->now_ms;
 }
 
 void
-sched_guard_poll (struct scheduler *s, struct sched_worker *w, const struct worker_poll *p)
+sched_enforce_limits (struct scheduler *s, struct sched_worker *w, const struct worker_poll *p)
 {
   struct sched_task *st;
   TAILQ_FOREACH (st, &w->tasks, link)
   if (st->listed_poll == w->sequence && st->listed == CELL_REPORT_RUNNING)
     {
-      ask_checkpoint (s, st);
+      request_checkpoint (s, st);
       if (!sched_has_policy (s, SCHEDULER_NO_LEARNING))
-        guard_size (s, st);
+        enforce_size (s, st);
     }
   if (!sched_has_policy (s, SCHEDULER_NO_LEARNING))
-    guard_interference (s, w, s->now_ms - p->measured_ago_ms);
+    enforce_slowdown (s, w, s->now_ms - p->measured_ago_ms);
 }
 
 /* Lowered plans.  */
@@ -311,11 +314,13 @@
             used->accelerators -= st->allocated.accelerators;
             continue;
           }
-        if (ratio < 1 && (st->limit == SCHED_LIMIT_NONE || st->limit == SCHED_LIMIT_PLAN))
-          sched_throttle (s, st, SCHED_LIMIT_PLAN,
+        if (ratio < 1
+            && (st->throttle_reason == SCHED_THROTTLE_NONE
+                || st->throttle_reason == SCHED_THROTTLE_PLAN))
+          sched_throttle (s, st, SCHED_THROTTLE_PLAN,
                           (uint32_t)(ratio * (double)st->allocated.millicores));
-        else if (ratio >= 1 && st->limit == SCHED_LIMIT_PLAN)
-          sched_throttle (s, st, SCHED_LIMIT_NONE, 0);
+        else if (ratio >= 1 && st->throttle_reason == SCHED_THROTTLE_PLAN)
+          sched_throttle (s, st, SCHED_THROTTLE_NONE, 0);
         struct eviction_candidate e;
         sched_eviction_candidate (s, s->workers[i], st, &e);
         if (eviction_cost (&e) < least)
@@ -329,7 +334,7 @@
 }
 
 static void
-guard_plan (struct scheduler *s, struct sched_customer *c)
+enforce_plan (struct scheduler *s, struct sched_customer *c)
 {
   bool is_above = above_plan (c, &c->used);
   struct resource_amount used = c->used;
@@ -347,7 +352,8 @@
   double ratio = 1;
   if (excess (used.millicores, q->max_millicores))
     ratio = (double)q->max_millicores / (double)used.millicores;
-  struct sched_task *st = throttle_to_plan (s, c, c->known ? ratio : 0.1, &used);
+  struct sched_task *st
+      = throttle_to_plan (s, c, c->known ? ratio : UNKNOWN_CUSTOMER_THROTTLE_RATIO, &used);
   bool at_once = !c->known || excess (used.memory_mb, q->max_memory_mb)
                  || excess (used.accelerators, q->max_accelerators);
   if (!at_once && s->now_ms - c->above_plan_since_ms < SCHEDULER_PLAN_GRACE_MS)
@@ -357,11 +363,11 @@
 }
 
 void
-sched_guard_plans (struct scheduler *s)
+sched_enforce_plans (struct scheduler *s)
 {
   struct sched_customer *c;
   LIST_FOREACH (c, &s->customers, link)
-  guard_plan (s, c);
+  enforce_plan (s, c);
 }
 
 /* Data centre out.  */
@@ -379,7 +385,7 @@
         continue;
       if (batch && t->other_cell != 0 && t->other_cell != p->cell)
         continue;
-      if (sched_take_room (p, size))
+      if (sched_take_peer_capacity (p, size))
         return p;
     }
   return NULL;
@@ -409,7 +415,7 @@
 }
 
 void
-sched_guard_drain (struct scheduler *s)
+sched_drain_data_centre (struct scheduler *s)
 {
   if (s->now_ms - s->drain_ms < DRAIN_PERIOD_MS)
     return;
--- a/src/scheduler/scheduler_internal.h
+++ b/src/scheduler/scheduler_internal.h
@@ -17,12 +17,12 @@
 
 struct sched_worker;
 
-enum sched_limit_reason
+enum sched_throttle_reason
 {
-  SCHED_LIMIT_NONE,
-  SCHED_LIMIT_SIZE,         /* uses more than its allocation */
-  SCHED_LIMIT_PLAN,         /* the customer's plan was lowered */
-  SCHED_LIMIT_INTERFERENCE, /* slows down an urgent task */
+  SCHED_THROTTLE_NONE,
+  SCHED_THROTTLE_SIZE,         /* uses more than its allocation */
+  SCHED_THROTTLE_PLAN,         /* the customer's plan was lowered */
+  SCHED_THROTTLE_INTERFERENCE, /* slows down an urgent task */
 };
 
 struct sched_customer
@@ -53,7 +53,7 @@
   struct class_health health;
   double processor_ratio; /* used / declared processors */
   double memory_ratio;
-  double use; /* used / allocated processors */
+  double usage_ratio; /* used / allocated processors */
 };
 
 struct sched_task
@@ -85,13 +85,13 @@
   uint64_t start_progress_ms;
   int64_t start_sent_ms;
   int64_t stop_sent_ms;
-  int64_t checkpoint_ms;     /* last checkpoint seen or requested */
-  uint32_t limit_millicores; /* throttle; 0: none */
+  int64_t last_checkpoint_ms; /* last checkpoint seen or requested */
+  uint32_t limit_millicores;  /* throttle; 0: none */
   uint32_t limit_sent;
-  uint32_t limit_repeats;
-  enum sched_limit_reason limit; /* reason of the throttle */
-  double mix_use;                /* its part of the worker's mix */
-  uint32_t oversize_samples;
+  uint32_t throttle_repeats;
+  enum sched_throttle_reason throttle_reason;
+  double mix_millicores; /* expected use counted in the worker's mix */
+  uint32_t oversize_polls;
   enum cell_stop_reason requested_stop;
 
   struct sched_worker *reserved_worker; /* where capacity is reserved for it */
@@ -111,8 +111,8 @@
   uint64_t task;
   uint64_t epoch;
   bool running;
-  bool superseded; /* the log has reached this epoch or a later one */
-  bool unknown;    /* the log does not contain the task */
+  bool epoch_in_log; /* the log has reached this epoch or a later one */
+  bool unknown;      /* the log does not contain the task */
 };
 
 struct sched_mix_entry
@@ -152,7 +152,7 @@
   int64_t retry_at_ms; /* when commands are due again; 0: none */
   struct worker_health health;
   uint64_t probe_task;
-  struct sched_mix_entry classes[SCHED_MIX_SIZE];
+  struct sched_mix_entry classes[SCHED_MIX_SIZE]; /* mix: expected use per batch class */
   size_t class_count;
   struct sched_mix_entry services[SCHED_MIX_SIZE];
   size_t service_count;
@@ -160,8 +160,8 @@
   size_t recent_next;
   double used_millicores;
   int64_t action_at_ms; /* last throttle or eviction because of slowdown */
-  uint64_t mark;        /* last round that found a task of the job here */
-  int64_t learned_ms;   /* time of the newest sample learned from */
+  uint64_t mark;      /* scheduler.mark when a task of the job was last found here; never written */
+  int64_t learned_ms; /* time of the newest sample learned from */
   uint32_t slow_samples;
   uint32_t normal_samples;
   uint32_t urgent_count;
@@ -169,7 +169,7 @@
   bool announced;
   bool alive;
   bool poll_open;
-  bool shrunk; /* announced with less capacity than is allocated */
+  bool over_capacity; /* announced with less capacity than allocated, until that fits again */
   bool ready;
   char id[CELL_NAME_BYTES + 1];
 };
@@ -208,7 +208,7 @@
   struct scheduler_peer_cell *peers;
   size_t peer_count;
   struct resource_amount total;   /* of the workers that are alive */
-  struct resource_amount largest; /* the worker with the most processors */
+  struct resource_amount largest; /* of the worker with the most processors announced so far */
 
   struct cell_map worker_map;
   struct sched_worker **workers; /* parallel to rows */
@@ -294,7 +294,7 @@
 struct sched_worker *sched_find_worker (const struct scheduler *s, const char *id);
 struct sched_worker *sched_add_worker (struct scheduler *s, const char *id);
 void sched_free_workers (struct scheduler *s);
-bool sched_within_capacity (const struct sched_worker *w); /* Allocated no more than its size. */
+bool sched_within_capacity (const struct sched_worker *w);
 void sched_update_row (struct scheduler *s, struct sched_worker *w);
 void sched_mark_ready (struct scheduler *s, struct sched_worker *w);
 void sched_scan_workers (struct scheduler *s); /* Leases, retries and probes. */
@@ -322,21 +322,23 @@
     struct scheduler *s, const struct sched_worker *w,
     const struct sched_task *st); /* Slowdown that a running batch task adds. */
 
-/* scheduler_guard.c */
-void sched_guard_poll (struct scheduler *s, struct sched_worker *w,
-                       const struct worker_poll *p); /* Slowdown and oversize tasks. */
+/* scheduler_enforce.c */
+void sched_enforce_limits (struct scheduler *s, struct sched_worker *w,
+                           const struct worker_poll *p); /* Slowdown, sizes and checkpoints. */
 void sched_throttle_for_arrival (struct scheduler *s,
                                  struct sched_worker *w); /* An urgent task was placed on W. */
-void sched_throttle (struct scheduler *s, struct sched_task *st, enum sched_limit_reason reason,
-                     uint32_t millicores); /* Throttles; SCHED_LIMIT_NONE lifts. */
+void sched_throttle (struct scheduler *s, struct sched_task *st, enum sched_throttle_reason reason,
+                     uint32_t millicores); /* Throttles; SCHED_THROTTLE_NONE lifts. */
 bool sched_may_evict (const struct scheduler *s, const struct sched_task *st,
                       uint32_t planned); /* True when the budget allows one more than PLANNED. */
 void sched_eviction_candidate (struct scheduler *s, const struct sched_worker *w,
                                struct sched_task *st, struct eviction_candidate *out);
-void sched_guard_plans (struct scheduler *s); /* Lowered plans. */
-void sched_guard_drain (struct scheduler *s); /* Data centre out. */
+void sched_enforce_plans (struct scheduler *s); /* Lowered plans. */
+void sched_drain_data_centre (struct scheduler *s);
 
-bool sched_take_room (struct scheduler_peer_cell *p,
-                      const cell_size *size); /* False when P lacks capacity for SIZE. */
+/* scheduler_report.c */
+bool sched_take_peer_capacity (
+    struct scheduler_peer_cell *p,
+    const cell_size *size); /* Subtracts SIZE from P; false when it does not fit. */
 
 #endif
--- a/src/scheduler/scheduler_learn.c
+++ b/src/scheduler/scheduler_learn.c
@@ -7,22 +7,22 @@
 #include "scheduler_internal.h"
 
 #define URGENT_STABLE_MS 30000
-#define RATIO_RISE_RATE 0.5
-#define RATIO_FALL_RATE 0.02
-#define USE_RATE 0.1
+#define RATIO_RISE_PER_POLL 0.5
+#define RATIO_FALL_PER_POLL 0.02
+#define USAGE_RATE_PER_POLL 0.1
 #define MAX_MIX 64
 /* A batch task that raises a service's predicted slowdown by less is not refused for it.  */
-#define NEGLIGIBLE_SLOWDOWN 0.005
+#define NEGLIGIBLE_ADDED_SLOWDOWN 0.005
 #define URGENT_MAX_CRASHES 8
 #define BATCH_MAX_CRASHES 6
 
 double
 sched_expected_use (const struct sched_task *st)
 {
-  double use = (double)st->allocated.millicores * st->cls->use;
-  if (st->limit_millicores && use > st->limit_millicores)
+  double millicores = (double)st->allocated.millicores * st->cls->usage_ratio;
+  if (st->limit_millicores && millicores > st->limit_millicores)
     return st->limit_millicores;
-  return use;
+  return millicores;
 }
 
 static struct sched_mix_entry *
@@ -43,15 +43,15 @@
 sched_mix_add (struct sched_worker *w, const struct sched_task *st)
 {
   struct sched_task *own = (struct sched_task *)st;
-  own->mix_use = sched_expected_use (st);
-  w->used_millicores += st->mix_use;
+  own->mix_millicores = sched_expected_use (st);
+  w->used_millicores += st->mix_millicores;
   struct sched_mix_entry *e
       = st->cls->urgent ? find_mix_entry (w->services, &w->service_count, st->cls->id, true)
                         : find_mix_entry (w->classes, &w->class_count, st->cls->id, true);
   if (!e)
     return;
   e->count++;
-  e->millicores += st->mix_use;
+  e->millicores += st->mix_millicores;
 }
 
 void
@@ -59,11 +59,11 @@
 {
   struct sched_mix_entry *list = st->cls->urgent ? w->services : w->classes;
   size_t *count = st->cls->urgent ? &w->service_count : &w->class_count;
-  w->used_millicores = fmax (w->used_millicores - st->mix_use, 0);
+  w->used_millicores = fmax (w->used_millicores - st->mix_millicores, 0);
   struct sched_mix_entry *e = find_mix_entry (list, count, st->cls->id, false);
   if (!e)
     return;
-  e->millicores = fmax (e->millicores - st->mix_use, 0);
+  e->millicores = fmax (e->millicores - st->mix_millicores, 0);
   if (--e->count == 0)
     *e = list[--*count];
 }
@@ -88,17 +88,18 @@
   struct interference_load mix[SCHED_MIX_SIZE + 1];
   size_t count = mix_of (w, mix);
   double total = (double)w->total.millicores;
-  double use = (double)sched_need (s, st).millicores * st->cls->use;
+  double millicores = (double)sched_need (s, st).millicores * st->cls->usage_ratio;
   mix[count].class_id = st->cls->id;
-  mix[count].share = use / total;
+  mix[count].share = millicores / total;
   double load = w->used_millicores / total;
   double interference = 0;
   for (size_t i = 0; i < w->service_count; i++)
     {
       int service = w->services[i].id;
       double before = interference_predict (s->model, service, mix, count, load);
-      double after = interference_predict (s->model, service, mix, count + 1, load + use / total);
-      if (after > INTERFERENCE_SLOWDOWN_LIMIT && after - before > NEGLIGIBLE_SLOWDOWN)
+      double after
+          = interference_predict (s->model, service, mix, count + 1, load + millicores / total);
+      if (after > INTERFERENCE_SLOWDOWN_LIMIT && after - before > NEGLIGIBLE_ADDED_SLOWDOWN)
         return PLACEMENT_REFUSED;
       interference += w->services[i].count * fmax (after - before, 0);
     }
@@ -113,7 +114,7 @@
   if (w->total.millicores == 0)
     return PLACEMENT_REFUSED;
   size_t count = mix_of (w, mix);
-  double load = (w->used_millicores + (double)sched_need (s, st).millicores * st->cls->use)
+  double load = (w->used_millicores + (double)sched_need (s, st).millicores * st->cls->usage_ratio)
                 / (double)w->total.millicores;
   double slowdown = interference_predict (s->model, st->cls->id, mix, count, load);
   return slowdown > INTERFERENCE_SLOWDOWN_LIMIT ? PLACEMENT_REFUSED : slowdown - 1;
@@ -136,7 +137,7 @@
                          const struct sched_task *st)
 {
   double load = w->used_millicores / (double)w->total.millicores;
-  double share = st->mix_use / (double)w->total.millicores;
+  double share = st->mix_millicores / (double)w->total.millicores;
   double interference = 0;
   for (size_t i = 0; i < w->service_count; i++)
     interference += w->services[i].count * share
@@ -156,7 +157,7 @@
     if (st->cls->urgent || st->run_from_ms == 0 || st->run_from_ms > at_ms || count == MAX_MIX)
       continue;
     mix[count].class_id = st->cls->id;
-    mix[count++].share = (st->used_millicores ? st->used_millicores : st->mix_use) / total;
+    mix[count++].share = (st->used_millicores ? st->used_millicores : st->mix_millicores) / total;
   }
   for (size_t i = 0; i < SCHED_RECENT_RUNS && count < MAX_MIX; i++)
     {
@@ -172,7 +173,7 @@
 static void
 update_ratio (double *ratio, double seen)
 {
-  *ratio += (seen > *ratio ? RATIO_RISE_RATE : RATIO_FALL_RATE) * (seen - *ratio);
+  *ratio += (seen > *ratio ? RATIO_RISE_PER_POLL : RATIO_FALL_PER_POLL) * (seen - *ratio);
 }
 
 static void
@@ -182,11 +183,13 @@
   const cell_size *size = &st->t->job->spec.size;
   if (st->used_millicores == 0 || st->allocated.millicores == 0)
     return;
-  c->use += USE_RATE * ((double)st->used_millicores / (double)st->allocated.millicores - c->use);
+  c->usage_ratio
+      += USAGE_RATE_PER_POLL
+         * ((double)st->used_millicores / (double)st->allocated.millicores - c->usage_ratio);
   if (c->urgent)
     return;
   /* The usage of a throttled task shows its limit, not its demand.  */
-  if (st->limit == SCHED_LIMIT_NONE || st->used_millicores > st->limit_millicores)
+  if (st->throttle_reason == SCHED_THROTTLE_NONE || st->used_millicores > st->limit_millicores)
     update_ratio (&c->processor_ratio, (double)st->used_millicores / size->millicores);
   if (st->used_memory_mb > 0)
     update_ratio (&c->memory_ratio, (double)st->used_memory_mb / size->memory_mb);
@@ -241,7 +244,7 @@
   if (w)
     sched_update_row (s, w);
   if (sched_has_policy (s, SCHEDULER_NO_LEARNING) || st->cls->urgent || st->run_from_ms == 0
-      || st->limit != SCHED_LIMIT_NONE)
+      || st->throttle_reason != SCHED_THROTTLE_NONE)
     return;
   uint64_t ran = st->start_progress_ms + (uint64_t)(s->now_ms - st->run_from_ms);
   run_time_record (&st->cls->run, st->t->job->spec.run_ms, ran);
@@ -271,7 +274,7 @@
 
 /* Fails a job that failed on several healthy workers; a service has to crash more often.  */
 static void
-fail_bad_job (struct scheduler *s, struct sched_task *st)
+fail_job_if_failing (struct scheduler *s, struct sched_task *st)
 {
   const struct cell_task *t = st->t;
   uint32_t workers = 0;
@@ -307,7 +310,7 @@
       sched_update_row (s, w);
     }
   class_health_record (&st->cls->health, false);
-  fail_bad_job (s, st);
+  fail_job_if_failing (s, st);
 }
 
 void
@@ -323,7 +326,7 @@
     return;
   struct sched_recent_run *r = &w->recent[w->recent_next++ % SCHED_RECENT_RUNS];
   r->class_id = st->cls->id;
-  r->millicores = st->used_millicores ? st->used_millicores : st->mix_use;
+  r->millicores = st->used_millicores ? st->used_millicores : st->mix_millicores;
   r->from_ms = st->run_from_ms;
   r->to_ms = s->now_ms;
 }
--- a/src/scheduler/scheduler_place.c
+++ b/src/scheduler/scheduler_place.c
@@ -16,14 +16,14 @@
 #define RESERVE_BEFORE_START_MS 60000 /* before its latest start a task may reserve capacity */
 #define WORKERS_PER_RESERVATION 16
 
-/* Replicas of one service share a worker only when no other worker has free capacity.  */
-#define SAME_WORKER_PENALTY 0.1
+/* Keeps replicas of one service apart.  Never applied: no code writes sched_worker.mark.  */
+#define SAME_WORKER_ADDED_SLOWDOWN 0.1
 
 /* Batch tasks leave headroom for the urgent demand expected in one window.  */
 #define DEMAND_WINDOW_MS 10000
-#define DEMAND_RATE 0.1
+#define DEMAND_RATE_PER_WINDOW 0.1
 #define DEMAND_DEVIATIONS 3.0
-#define MAX_HEADROOM 0.08             /* of all processors */
+#define MAX_HEADROOM_SHARE 0.08       /* of all processors */
 #define HEADROOM_START_MARGIN_MS 5000 /* before its latest start a task may use the headroom */
 
 struct failed_size
@@ -56,7 +56,7 @@
   const struct sched_worker *w = c->s->workers[row];
   if (sched_is_urgent (c->st))
     return sched_urgent_interference (c->s, w, c->st)
-           + (w->mark == c->s->mark ? SAME_WORKER_PENALTY : 0);
+           + (w->mark == c->s->mark ? SAME_WORKER_ADDED_SLOWDOWN : 0);
   return sched_batch_interference (c->s, w, c->st);
 }
 
@@ -77,7 +77,7 @@
   return false;
 }
 
-/* Tasks of the job per rack; NULL when the job need not be spread over racks.  */
+/* Tasks of the job per rack, NULL when it need not be spread over racks.  Raises s->mark.  */
 static const uint32_t *
 count_racks (struct scheduler *s, const struct sched_task *st)
 {
@@ -167,8 +167,8 @@
 static uint64_t
 shortfall (uint64_t need, uint64_t total, uint64_t used)
 {
-  uint64_t room = used < total ? total - used : 0;
-  return need > room ? need - room : 0;
+  uint64_t unused = used < total ? total - used : 0;
+  return need > unused ? need - unused : 0;
 }
 
 static struct resource_amount
@@ -211,10 +211,10 @@
   if (w->total.millicores < need->millicores || w->total.memory_mb < need->memory_mb
       || w->total.accelerators < need->accelerators)
     return false;
-  struct resource_amount missing = shortfall_on (w, need);
+  struct resource_amount worker_shortfall = shortfall_on (w, need);
   size_t count = candidates_on (s, w, candidates);
-  return eviction_choose (candidates, count, &missing, sched_has_policy (s, SCHEDULER_EVICT_NEWEST),
-                          out);
+  return eviction_choose (candidates, count, &worker_shortfall,
+                          sched_has_policy (s, SCHEDULER_EVICT_NEWEST), out);
 }
 
 static bool
@@ -332,8 +332,8 @@
   if (s->now_ms - s->demand_ms < DEMAND_WINDOW_MS)
     return;
   double error = s->demand_now - s->demand_mean;
-  s->demand_mean += DEMAND_RATE * error;
-  s->demand_deviation += DEMAND_RATE * (fabs (error) - s->demand_deviation);
+  s->demand_mean += DEMAND_RATE_PER_WINDOW * error;
+  s->demand_deviation += DEMAND_RATE_PER_WINDOW * (fabs (error) - s->demand_deviation);
   s->demand_now = 0;
   s->demand_ms = s->now_ms;
 }
@@ -348,7 +348,7 @@
     if (s->rows[i].usable)
       spare += s->rows[i].free_millicores;
   double headroom = s->demand_mean + DEMAND_DEVIATIONS * s->demand_deviation;
-  return spare - fmin (headroom, MAX_HEADROOM * (double)s->total.millicores);
+  return spare - fmin (headroom, MAX_HEADROOM_SHARE * (double)s->total.millicores);
 }
 
 static bool
--- a/src/scheduler/scheduler_report.c
+++ b/src/scheduler/scheduler_report.c
@@ -64,7 +64,7 @@
 }
 
 bool
-sched_take_room (struct scheduler_peer_cell *p, const cell_size *size)
+sched_take_peer_capacity (struct scheduler_peer_cell *p, const cell_size *size)
 {
   if (p->free_millicores < size->millicores || p->free_memory_mb < size->memory_mb
       || p->free_accelerators < size->accelerators)
@@ -76,10 +76,10 @@
 }
 
 static struct scheduler_peer_cell *
-peer_with_room (struct scheduler *s, const cell_size *size)
+take_peer_with_capacity (struct scheduler *s, const cell_size *size)
 {
   for (size_t i = 0; i < s->peer_count; i++)
-    if (sched_take_room (&s->peers[i], size))
+    if (sched_take_peer_capacity (&s->peers[i], size))
       return &s->peers[i];
   return NULL;
 }
@@ -97,7 +97,7 @@
   bool live = t->state == CELL_PENDING || t->state == CELL_PLACED || t->state == CELL_RUNNING;
   if (!s->data_centre_out || !live || t->job->spec.kind != CELL_URGENT)
     return false;
-  const struct scheduler_peer_cell *p = peer_with_room (s, &t->job->spec.size);
+  const struct scheduler_peer_cell *p = take_peer_with_capacity (s, &t->job->spec.size);
   if (!p)
     return false;
   out->kind = SCHEDULER_MOVE_REPLACE;
@@ -184,11 +184,11 @@
   if (allocated.millicores != w->allocated.millicores
       || allocated.memory_mb != w->allocated.memory_mb
       || allocated.accelerators != w->allocated.accelerators)
-    sched_invariant_failed ("the sum of the task allocations differs from the worker's");
+    sched_invariant_failed ("the sum of the task allocations differs from the worker's allocation");
   if (!w->announced)
     return;
-  if (!w->shrunk && !sched_within_capacity (w))
-    sched_invariant_failed ("a worker is allocated beyond its size");
+  if (!w->over_capacity && !sched_within_capacity (w))
+    sched_invariant_failed ("the allocations of a worker exceed its capacity");
   if (s->workers[w->row] != w)
     sched_invariant_failed ("a worker's row index is wrong");
 }
@@ -199,7 +199,7 @@
   const struct sched_task *st = t->observer_data;
   bool open = t->state == CELL_PENDING || cell_task_on_worker (t);
   if (open != (st != NULL))
-    sched_invariant_failed ("an open task has no soft record, or a closed one has one");
+    sched_invariant_failed ("an open task has no scheduler record, or a closed task has one");
   if (!st)
     return;
   if (cell_task_on_worker (t) && (!st->worker || st->allocated_epoch != t->epoch))
--- a/src/scheduler/scheduler_task.c
+++ b/src/scheduler/scheduler_task.c
@@ -5,8 +5,8 @@
 #include "scheduler_internal.h"
 
 #define MAX_SIZE_RATIO 4.0
-/* A class whose runs mostly succeed is retried at once after a first failure.  */
-#define TRUSTED_RATE 0.8
+/* Back-off after the first failure of a task whose class mostly succeeds.  */
+#define TRUSTED_SUCCESS_RATE 0.8
 #define TRUSTED_BACKOFF_MS 100
 
 static char no_text[] = "";
@@ -97,7 +97,7 @@
 {
   struct resource_amount need = sched_need (s, st);
   if (st->worker || !sched_fits (w, &need, NULL))
-    sched_invariant_failed ("a worker would be allocated beyond its size");
+    sched_invariant_failed ("the allocations of a worker would exceed its capacity");
   allocate (s, st, w, need);
 }
 
@@ -125,7 +125,7 @@
   return true;
 }
 
-/* A placement by an earlier leader: it fits the worker according to that leader's accounting.  */
+/* Allocates a placement by an earlier leader unchecked: that leader has checked that it fits.  */
 static void
 adopt_placement (struct scheduler *s, struct sched_task *st)
 {
@@ -151,13 +151,13 @@
   st->stable = false;
   st->start_sent_ms = 0;
   st->stop_sent_ms = 0;
-  st->checkpoint_ms = 0;
+  st->last_checkpoint_ms = 0;
   st->checkpoint_due = false;
   st->limit_millicores = 0;
   st->limit_sent = 0;
-  st->limit_repeats = 0;
-  st->limit = SCHED_LIMIT_NONE;
-  st->oversize_samples = 0;
+  st->throttle_repeats = 0;
+  st->throttle_reason = SCHED_THROTTLE_NONE;
+  st->oversize_polls = 0;
   st->requested_stop = CELL_STOP_NONE;
   st->used_millicores = 0;
   st->used_memory_mb = 0;
@@ -336,7 +336,7 @@
 static uint32_t
 failure_backoff (const struct sched_task *st)
 {
-  if (st->t->failures == 0 && class_health_success_rate (&st->cls->health) > TRUSTED_RATE)
+  if (st->t->failures == 0 && class_health_success_rate (&st->cls->health) > TRUSTED_SUCCESS_RATE)
     return TRUSTED_BACKOFF_MS;
   return worker_health_crash_backoff (st->t->failures, sched_is_urgent (st));
 }
--- a/src/scheduler/scheduler_worker.c
+++ b/src/scheduler/scheduler_worker.c
@@ -5,8 +5,8 @@
 
 #include "scheduler_internal.h"
 
-/* A lost worker without allocations is removed after this time.  */
-#define FORGET_WORKER_MS 600000
+/* A lost worker without allocations or reservations is removed after this time.  */
+#define LOST_WORKER_RETENTION_MS 600000
 
 struct sched_worker *
 sched_find_worker (const struct scheduler *s, const char *id)
@@ -110,7 +110,7 @@
   r->rack = w->rack;
   r->urgent = w->urgent_count < UINT8_MAX ? (uint8_t)w->urgent_count : UINT8_MAX;
   r->health_score = (float)w->health.score;
-  w->shrunk = w->shrunk && !sched_within_capacity (w);
+  w->over_capacity = w->over_capacity && !sched_within_capacity (w);
   r->usable = w->announced && w->alive && worker_health_usable (&w->health, s->now_ms);
 }
 
@@ -165,7 +165,7 @@
   if (st->run_from_ms == 0 && in->state == CELL_REPORT_RUNNING)
     {
       st->run_from_ms = s->now_ms;
-      st->checkpoint_ms = s->now_ms;
+      st->last_checkpoint_ms = s->now_ms;
       st->start_progress_ms = st->t->progress_ms;
     }
   st->listed_epoch = in->epoch;
@@ -179,7 +179,7 @@
       free (st->checkpoint);
       st->checkpoint = copy_text (in->checkpoint);
       if (in->progress_ms > st->progress_ms)
-        st->checkpoint_ms = s->now_ms;
+        st->last_checkpoint_ms = s->now_ms;
       st->progress_ms = in->progress_ms;
     }
   free (st->reason);
@@ -201,7 +201,7 @@
   g->epoch = in->epoch;
   g->running = in->state < CELL_REPORT_DONE;
   /* An epoch above the log's belongs to a newer leader: leave it alone.  */
-  g->superseded = t && in->epoch <= t->epoch;
+  g->epoch_in_log = t && in->epoch <= t->epoch;
   g->unknown = !t;
   if (!g->running)
     return;
@@ -263,7 +263,7 @@
 }
 
 static void
-set_size (struct scheduler *s, struct sched_worker *w, const struct worker_announce *a)
+set_capacity (struct scheduler *s, struct sched_worker *w, const struct worker_announce *a)
 {
   set_alive (s, w, false);
   w->total.millicores = a->millicores;
@@ -271,7 +271,7 @@
   w->total.accelerators = a->accelerators;
   w->rack = rack_id (s, a->rack ? a->rack : "");
   w->announced = true;
-  w->shrunk = !sched_within_capacity (w);
+  w->over_capacity = !sched_within_capacity (w);
   set_alive (s, w, true);
   if (w->total.millicores > s->largest.millicores)
     s->largest = w->total;
@@ -296,7 +296,7 @@
     return status_set (st, STATUS_STALE_INCARNATION, "worker %s has a newer incarnation", a->id);
   if (a->incarnation > w->incarnation)
     begin_incarnation (w, a);
-  set_size (s, w, a);
+  set_capacity (s, w, a);
   /* A repeated announcement may be outdated: its list counts only before the first poll.  */
   if (w->sequence == 0)
     apply_task_list (s, w, a->tasks, a->task_count);
@@ -305,9 +305,9 @@
   return 0;
 }
 
-/* A task that the complete list of a newer poll omits does not run on that worker.  */
+/* Records as stopped each task that ran here and that a newer poll's complete list omits.  */
 static void
-check_missing (struct scheduler *s, struct sched_worker *w)
+report_unlisted_stopped (struct scheduler *s, struct sched_worker *w)
 {
   struct sched_task *st;
   struct sched_task *next;
@@ -332,11 +332,11 @@
 }
 
 static bool
-has_due_command (const struct scheduler *s, const struct sched_worker *w)
+has_pending_command (const struct scheduler *s, const struct sched_worker *w)
 {
   const struct sched_task *st;
   for (size_t i = 0; i < w->unmatched_count; i++)
-    if (w->unmatched_tasks[i].running && w->unmatched_tasks[i].superseded)
+    if (w->unmatched_tasks[i].running && w->unmatched_tasks[i].epoch_in_log)
       return true;
   TAILQ_FOREACH (st, &w->tasks, link)
   {
@@ -362,16 +362,16 @@
   if (!w || !w->announced)
     return status_set (st, STATUS_NOT_FOUND, "worker %s has not announced itself", p->id);
   if (p->incarnation != w->incarnation || p->sequence <= w->sequence)
-    return status_set (st, STATUS_STALE_INCARNATION, "stale poll from worker %s", p->id);
+    return status_set (st, STATUS_STALE_INCARNATION, "an old poll of worker %s", p->id);
   w->sequence = p->sequence;
   w->handled_ms = now_ms;
   w->poll_open = true;
   set_alive (s, w, true);
   apply_task_list (s, w, p->tasks, p->task_count);
-  check_missing (s, w);
+  report_unlisted_stopped (s, w);
   sched_learn_poll (s, w, p);
-  sched_guard_poll (s, w, p);
-  if (has_due_command (s, w))
+  sched_enforce_limits (s, w, p);
+  if (has_pending_command (s, w))
     sched_mark_ready (s, w);
   return 0;
 }
@@ -412,13 +412,13 @@
 static void
 scan_worker (struct scheduler *s, struct sched_worker *w)
 {
-  bool allocated = !TAILQ_EMPTY (&w->tasks);
-  if (allocated || w->alive)
+  bool has_tasks = !TAILQ_EMPTY (&w->tasks);
+  if (has_tasks || w->alive)
     expire_leases (s, w);
   if (w->retry_at_ms && s->now_ms >= w->retry_at_ms)
     {
       w->retry_at_ms = 0;
-      if (has_due_command (s, w))
+      if (has_pending_command (s, w))
         sched_mark_ready (s, w);
     }
   if (w->poll_open && s->now_ms - w->handled_ms >= SCHEDULER_HEARTBEAT_MS)
@@ -435,7 +435,7 @@
       struct sched_worker *w = s->workers[i];
       scan_worker (s, w);
       bool idle = TAILQ_EMPTY (&w->tasks) && w->reserved.millicores == 0;
-      if (!w->alive && idle && s->now_ms - w->lost_since_ms > FORGET_WORKER_MS)
+      if (!w->alive && idle && s->now_ms - w->lost_since_ms > LOST_WORKER_RETENTION_MS)
         free_worker (s, w);
     }
 }
--- a/src/scheduler/task_queue.c
+++ b/src/scheduler/task_queue.c
@@ -6,10 +6,10 @@
 
 #include "buffer.h"
 
-/* Weight of a new sample once enough samples are known.  */
+/* Weight of a new sample: 1 / samples, but at least this.  */
 #define MIN_LEARNING_RATE 0.1
-#define MIN_SAMPLES 3
-/* Multiple of the deviation that is added to the mean: about the 84th percentile.  */
+#define MIN_RUN_TIME_SAMPLES 3 /* with fewer, the estimate is the declared time or its half */
+/* Mean absolute deviations above the mean: about the 79th percentile of a normal distribution.  */
 #define CAUTIOUS_DEVIATIONS 1.0
 #define OPTIMISTIC_DEVIATIONS 2.0
 #define MIN_OPTIMISTIC_SHARE 0.2
@@ -130,33 +130,34 @@
 void
 run_time_record (struct run_time_estimate *r, uint64_t declared_ms, uint64_t actual_ms)
 {
-  struct running_estimate *e = declared_ms ? &r->factor : &r->ms;
+  struct moving_estimate *e = declared_ms ? &r->factor : &r->ms;
   double x = declared_ms ? (double)actual_ms / (double)declared_ms : (double)actual_ms;
   e->samples++;
   double rate = fmax (MIN_LEARNING_RATE, 1.0 / e->samples);
   double error = x - e->mean;
   e->mean += rate * error;
   if (e->samples > 1)
-    e->deviation += rate * (fabs (error) - e->deviation);
+    e->mean_deviation += rate * (fabs (error) - e->mean_deviation);
 }
 
 uint64_t
 run_time_cautious (const struct run_time_estimate *r, uint64_t declared_ms)
 {
-  const struct running_estimate *e = declared_ms ? &r->factor : &r->ms;
-  if (e->samples < MIN_SAMPLES)
+  const struct moving_estimate *e = declared_ms ? &r->factor : &r->ms;
+  if (e->samples < MIN_RUN_TIME_SAMPLES)
     return declared_ms;
-  double x = e->mean + CAUTIOUS_DEVIATIONS * e->deviation;
+  double x = e->mean + CAUTIOUS_DEVIATIONS * e->mean_deviation;
   return (uint64_t)(declared_ms ? x * (double)declared_ms : x);
 }
 
 uint64_t
 run_time_optimistic (const struct run_time_estimate *r, uint64_t declared_ms)
 {
-  const struct running_estimate *e = declared_ms ? &r->factor : &r->ms;
-  if (e->samples < MIN_SAMPLES)
+  const struct moving_estimate *e = declared_ms ? &r->factor : &r->ms;
+  if (e->samples < MIN_RUN_TIME_SAMPLES)
     return declared_ms / 2;
-  double x = fmax (e->mean - OPTIMISTIC_DEVIATIONS * e->deviation, MIN_OPTIMISTIC_SHARE * e->mean);
+  double x
+      = fmax (e->mean - OPTIMISTIC_DEVIATIONS * e->mean_deviation, MIN_OPTIMISTIC_SHARE * e->mean);
   return (uint64_t)(declared_ms ? x * (double)declared_ms : x);
 }
 
--- a/src/scheduler/task_queue.h
+++ b/src/scheduler/task_queue.h
@@ -33,18 +33,18 @@
   size_t capacity;
 };
 
-struct running_estimate
+struct moving_estimate
 {
   double mean;
-  double deviation;
+  double mean_deviation;
   uint32_t samples;
 };
 
 /* Run times of one class.  Tasks with and without a declared run time are learned separately.  */
 struct run_time_estimate
 {
-  struct running_estimate factor; /* actual / declared run time */
-  struct running_estimate ms;     /* run time when none is declared */
+  struct moving_estimate factor; /* actual / declared run time */
+  struct moving_estimate ms;     /* run time when none is declared */
 };
 
 struct resource_amount
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -288,9 +288,8 @@
   close_cell ();
 }
 
-/* No worker reaches the leader for MS.  */
 static void
-run_silent (int64_t ms)
+run_without_polls (int64_t ms)
 {
   for (int64_t end = now_ms + ms; now_ms < end;)
     {
@@ -314,7 +313,7 @@
   scheduler_set_leader (sched, now_ms, false);
   scheduler_set_leader (sched, now_ms, true);
   /* The workers' leases still run after 6 s: the task keeps running where it is.  */
-  run_silent (6000);
+  run_without_polls (6000);
   assert_int_equal (t->state, CELL_RUNNING);
   for (size_t i = 0; i < worker_count; i++)
     workers[i].announced = workers[i].poll_out = false;
@@ -324,9 +323,9 @@
   /* No worker reports to the next leader: the task is lost after lease + margin, not before.  */
   scheduler_set_leader (sched, now_ms, false);
   scheduler_set_leader (sched, now_ms, true);
-  run_silent (SCHEDULER_LEASE_MS + SCHEDULER_LEASE_MARGIN_MS);
+  run_without_polls (SCHEDULER_LEASE_MS + SCHEDULER_LEASE_MARGIN_MS);
   assert_int_equal (t->state, CELL_RUNNING);
-  run_silent (1000);
+  run_without_polls (1000);
   assert_int_equal (t->state, CELL_PENDING);
   close_cell ();
 }
@@ -389,7 +388,7 @@
 
 /* A worker polls after the loss of its placement was proposed, but before that is committed.  */
 static void
-test_no_start_of_a_placement_that_is_given_up (void **state)
+test_no_start_after_loss_is_proposed (void **state)
 {
   (void)state;
   open_cell (1, 4000);
@@ -702,7 +701,7 @@
     cmocka_unit_test (test_new_leader_waits_a_lease),
     cmocka_unit_test (test_new_leader_without_permit_renews_no_covered_task),
     cmocka_unit_test (test_new_incarnation_frees_nothing_before_the_lease_ends),
-    cmocka_unit_test (test_no_start_of_a_placement_that_is_given_up),
+    cmocka_unit_test (test_no_start_after_loss_is_proposed),
     cmocka_unit_test (test_worker_comes_back_smaller),
     cmocka_unit_test (test_large_task_meets_its_deadline_among_small_ones),
     cmocka_unit_test (test_customers_share_by_weight),
--- a/tests/test_scheduler_faults.c
+++ b/tests/test_scheduler_faults.c
@@ -383,7 +383,7 @@
     }
   if (w->faults && rng_chance (&w->rng, 0.001))
     {
-      /* Its quorum is lost first: it is no longer confirmed.  */
+      /* The old leader loses its quorum first, so it is no longer confirmed.  */
       w->confirmed_ms[w->leader] = w->now_ms;
       change_leader (w);
     }
--- a/tests/test_task_queue.c
+++ b/tests/test_task_queue.c
@@ -55,7 +55,7 @@
   assert_true (task_queue_key (later, 0, 0, 0, 0)
                < task_queue_key (later, later, later + 5000, 1000, 1000));
   assert_int_equal (task_queue_key (0, 0, 10000, 4000, 2000), 6000);
-  /* Run times are uncertain: the deadline is lost only when the optimistic one is too long.  */
+  /* Run times are uncertain: the deadline is lost only when the optimistic run time is too long. */
   assert_int_equal (task_queue_key (6001, 0, 10000, 4000, 2000), 6000);
   assert_int_equal (task_queue_key (8001, 0, 10000, 4000, 2000), TASK_QUEUE_AGE_BOUND_MS);
 }
