--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -72,7 +72,7 @@
   uint64_t met;
   uint64_t missed;
   uint64_t evictions;
-  uint64_t moves; /* part of the evictions */
+  uint64_t slowdown_evictions; /* part of the evictions */
   uint64_t throttles;
   uint64_t failed_jobs;
   uint64_t starts;
@@ -483,7 +483,7 @@
   const struct cell_task *t;
   scheduler_stats (s->sched, &st);
   r->evictions += st.evictions;
-  r->moves += st.moves;
+  r->slowdown_evictions += st.slowdown_evictions;
   r->throttles += st.throttles;
   r->failed_jobs += st.failed_jobs;
   for (size_t i = 0; i < s->setup->workers; i++)
@@ -578,7 +578,7 @@
           slowdown_at (r, 0.99), slowdown_at (r, 0.999), r->kept_core_h,
           reference > 0 ? 100 * r->kept_core_h / reference : 100.0, r->lost_core_h,
           (unsigned long long)r->met, (unsigned long long)r->missed,
-          (unsigned long long)r->evictions, (unsigned long long)r->moves,
+          (unsigned long long)r->evictions, (unsigned long long)r->slowdown_evictions,
           (unsigned long long)r->throttles, (unsigned long long)r->failed_jobs,
           (unsigned long long)r->starts, (unsigned long long)r->urgent_unstarted);
 }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -204,7 +204,7 @@
   uint64_t starts;
   uint64_t evictions;
   uint64_t throttles;
-  uint64_t moves; /* evictions because of measured slowdown */
+  uint64_t slowdown_evictions; /* because of measured slowdown; part of evictions */
   uint64_t quarantines;
   uint64_t refused_starts;
   uint64_t lost_tasks;
@@ -248,8 +248,7 @@
 void scheduler_proposal_done (struct scheduler *s, int64_t now_ms, uint64_t id,
                               bool applied);            /* Applied, or can no longer be; unused. */
 const char *scheduler_next_ready (struct scheduler *s); /* Next worker to answer, or NULL. */
-bool scheduler_has_commands (const struct scheduler *s,
-                             const char *worker); /* True when its poll is to be answered now. */
+bool scheduler_answer_due (const struct scheduler *s, const char *worker);
 int scheduler_answer (struct scheduler *s, int64_t now_ms, const char *worker,
                       struct worker_answer *out,
                       struct status *st); /* Answers the worker's last poll with its commands. */
--- a/src/scheduler/scheduler_learn.c
+++ b/src/scheduler/scheduler_learn.c
@@ -203,7 +203,7 @@
   st->stable = true;
   class_health_record (&st->cls->health, true);
   if (!w->health.quarantined)
-    worker_health_succeeded (&w->health);
+    worker_health_on_success (&w->health);
 }
 
 void
@@ -236,7 +236,7 @@
 {
   struct sched_worker *w = st->worker;
   class_health_record (&st->cls->health, true);
-  if (w && worker_health_succeeded (&w->health))
+  if (w && worker_health_on_success (&w->health))
     {
       s->quarantined--;
       log_line (LOG_INFO, "worker %s left quarantine", w->id);
@@ -300,7 +300,7 @@
     {
       bool may_quarantine = (double)s->quarantined + 1
                             <= WORKER_HEALTH_MAX_QUARANTINED_SHARE * (double)s->worker_count + 1;
-      if (worker_health_failed (&w->health, &st->cls->health, s->now_ms, may_quarantine))
+      if (worker_health_on_failure (&w->health, &st->cls->health, s->now_ms, may_quarantine))
         {
           s->quarantined++;
           s->stats.quarantines++;
--- a/src/scheduler/scheduler_task.c
+++ b/src/scheduler/scheduler_task.c
@@ -400,6 +400,6 @@
       eviction_budget_record (&st->customer->budget, s->now_ms);
     }
   if (reason == CELL_STOP_HARM)
-    s->stats.moves++;
+    s->stats.slowdown_evictions++;
   sched_reconcile (s, st);
 }
--- a/src/scheduler/scheduler_worker.c
+++ b/src/scheduler/scheduler_worker.c
@@ -452,7 +452,7 @@
 }
 
 bool
-scheduler_has_commands (const struct scheduler *s, const char *worker)
+scheduler_answer_due (const struct scheduler *s, const char *worker)
 {
   const struct sched_worker *w = sched_find_worker (s, worker);
   return w && w->ready;
--- a/src/scheduler/worker_health.c
+++ b/src/scheduler/worker_health.c
@@ -44,8 +44,8 @@
 }
 
 bool
-worker_health_failed (struct worker_health *h, const struct class_health *c, int64_t now_ms,
-                      bool may_quarantine)
+worker_health_on_failure (struct worker_health *h, const struct class_health *c, int64_t now_ms,
+                          bool may_quarantine)
 {
   double weight = class_health_success_rate (c);
   h->failures++;
@@ -63,7 +63,7 @@
 }
 
 bool
-worker_health_succeeded (struct worker_health *h)
+worker_health_on_success (struct worker_health *h)
 {
   bool ended = h->quarantined;
   h->failures = 0;
--- a/src/scheduler/worker_health.h
+++ b/src/scheduler/worker_health.h
@@ -39,9 +39,10 @@
 void class_health_record (struct class_health *c, bool success);
 double
 class_health_success_rate (const struct class_health *c); /* Chance of success, 0.5 when unknown. */
-bool worker_health_failed (struct worker_health *h, const struct class_health *c, int64_t now_ms,
-                           bool may_quarantine);        /* True when a quarantine begins. */
-bool worker_health_succeeded (struct worker_health *h); /* True when a quarantine ends. */
+bool worker_health_on_failure (struct worker_health *h, const struct class_health *c,
+                               int64_t now_ms,
+                               bool may_quarantine);     /* True when a quarantine begins. */
+bool worker_health_on_success (struct worker_health *h); /* True when a quarantine ends. */
 bool worker_health_usable (const struct worker_health *h,
                            int64_t now_ms); /* May get a task: healthy, or due for a probe. */
 void worker_health_begin_probe (struct worker_health *h); /* A quarantined worker got its probe. */
--- a/tests/test_worker_health.c
+++ b/tests/test_worker_health.c
@@ -21,7 +21,7 @@
   for (int i = 0; i < 50; i++)
     class_health_record (&c, false);
   for (int i = 0; i < 10; i++)
-    assert_false (worker_health_failed (&h, &c, 0, true));
+    assert_false (worker_health_on_failure (&h, &c, 0, true));
 }
 
 static void
@@ -34,19 +34,19 @@
   memset (&c, 0, sizeof c);
   for (int i = 0; i < 50; i++)
     class_health_record (&c, true);
-  assert_false (worker_health_failed (&h, &c, 0, true));
-  assert_true (worker_health_failed (&h, &c, 0, true));
+  assert_false (worker_health_on_failure (&h, &c, 0, true));
+  assert_true (worker_health_on_failure (&h, &c, 0, true));
   assert_false (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS - 1));
   assert_true (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
   worker_health_begin_probe (&h);
   assert_false (worker_health_usable (&h, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
-  worker_health_failed (&h, &c, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS, true);
+  worker_health_on_failure (&h, &c, WORKER_HEALTH_MIN_PROBE_BACKOFF_MS, true);
   assert_false (worker_health_usable (&h, 3 * WORKER_HEALTH_MIN_PROBE_BACKOFF_MS - 1));
   assert_true (worker_health_usable (&h, 3 * WORKER_HEALTH_MIN_PROBE_BACKOFF_MS));
   worker_health_begin_probe (&h);
   worker_health_cancel_probe (&h, 100000);
   assert_true (worker_health_usable (&h, 100000));
-  assert_true (worker_health_succeeded (&h));
+  assert_true (worker_health_on_success (&h));
   assert_true (worker_health_usable (&h, 0));
 }
 
