--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -277,7 +277,7 @@
   if (xdr_cell_batch (&xdr, out))
     return 0;
   cell_free_batch (out);
-  return status_set (st, STATUS_BAD_REQUEST, "cell batch cannot be decoded");
+  return status_set (st, STATUS_BAD_REQUEST, "malformed command of a cell");
 }
 
 void
--- a/src/registry/plans.c
+++ b/src/registry/plans.c
@@ -182,7 +182,7 @@
 {
   const char *reason = NULL;
   if (!fits_plan_limits (plan, task, urgent))
-    reason = "exceeds the plan's limits";
+    reason = "is over what the plan may use";
   else if (plan->has_largest_task && !task_fits (task, &plan->largest_task))
     reason = "is over the largest task of the plan";
   else if (!fits_any_shape (p, task))
--- a/src/workflow/dispatcher_worker.c
+++ b/src/workflow/dispatcher_worker.c
@@ -196,14 +196,13 @@
   return 0;
 }
 
-/* Rejects a report of an ended incarnation or one older than the last report.  */
+/* Refuses a report of an ended incarnation or one older than the last report.  */
 static int
 check_report_age (struct dispatcher *d, const struct dispatch_worker *w,
                   const struct worker_report *r, struct status *st)
 {
   if (r->born_ms < w->born_ms || (w->gone && r->born_ms == w->born_ms))
-    return status_set (st, STATUS_STALE_INCARNATION, "that incarnation of worker %s has ended",
-                       r->id);
+    return status_set (st, STATUS_STALE_INCARNATION, "that life of worker %s is over", r->id);
   if (r->born_ms > w->born_ms || !w->address)
     return 0;
   if (w->reported && r->sequence <= w->sequence)
