--- a/src/log/group.c
+++ b/src/log/group.c
@@ -121,10 +121,10 @@
 }
 
 void
-group_finish_all (struct group *g, enum status_kind proposals, const char *why)
+group_finish_all (struct group *g, enum status_kind proposal_status, const char *why)
 {
   g->pending = 0;
-  finish_waiters (g, &g->proposed, proposals, why);
+  finish_waiters (g, &g->proposed, proposal_status, why);
   finish_waiters (g, &g->confirms, STATUS_NOT_LEADER, why);
   finish_change (g, STATUS_OUTCOME_UNKNOWN, why);
 }
@@ -177,7 +177,7 @@
 }
 
 static void
-reject (group_done done, void *arg, const struct status *st)
+refuse (group_done done, void *arg, const struct status *st)
 {
   done (arg, st, NULL, 0);
 }
@@ -198,20 +198,20 @@
   struct status st;
   if (has_failed (g))
     {
-      reject (done, arg, &g->failure);
+      refuse (done, arg, &g->failure);
       return;
     }
   if (group_is_leader (g) && raft_uncommitted_bytes (g->raft) > GROUP_MAX_PENDING_BYTES)
     {
       status_set (&st, STATUS_OVERLOADED, "group %s: %u bytes of commands wait for a quorum",
                   g->config.name, GROUP_MAX_PENDING_BYTES);
-      reject (done, arg, &st);
+      refuse (done, arg, &st);
       return;
     }
   uint64_t index = raft_propose (g->raft, command, len, &st);
   if (index == 0)
     {
-      reject (done, arg, &st);
+      refuse (done, arg, &st);
       return;
     }
   g->proposals++;
@@ -378,12 +378,12 @@
   struct status st;
   if (has_failed (g))
     {
-      reject (done, arg, &g->failure);
+      refuse (done, arg, &g->failure);
       return;
     }
   if (raft_set_target (g->raft, target, &st))
     {
-      reject (done, arg, &st);
+      refuse (done, arg, &st);
       return;
     }
   finish_change (g, STATUS_OUTCOME_UNKNOWN, "replaced by another membership change");
@@ -402,7 +402,7 @@
     }
   status_set (&st, STATUS_NOT_LEADER, "node %llu does not lead group %s",
               (unsigned long long)g->config.node, g->config.name);
-  reject (done, arg, &st);
+  refuse (done, arg, &st);
 }
 
 void
--- a/src/log/group.h
+++ b/src/log/group.h
@@ -8,12 +8,12 @@
    valid only during the call.
 
    After a failed disk write the group leaves the protocol: it steps down, sends nothing, fails
-   calls with STATUS_DISK_FAILED and reports it in the stats.
+   proposals and membership changes with STATUS_DISK_FAILED and reports it in the stats.
 
    First start: with an empty store and `initialized` false, `members` becomes the first member list
    and this node may vote if it is in it.  With an empty store and `initialized` true the node holds
    no members and waits until a leader sends it the log; it votes only after a leader has promoted
-   this store (see raft.h).  Both are ignored when the store has content.  */
+   this store (see raft.h).  `members` and `initialized` are ignored when the store has content.  */
 
 #ifndef SASSAFRAS_GROUP_H
 #define SASSAFRAS_GROUP_H
@@ -98,13 +98,13 @@
 const raft_members *group_members (const struct group *g); /* Latest members in the log. */
 int group_transfer_leadership (
     struct group *g, uint64_t to,
-    struct status *st); /* For a planned stop; to TO, or the best voter if 0. */
+    struct status *st); /* For a planned stop; TO 0: to the active voter with the longest log. */
 uint64_t group_quorum_completed_by (const struct group *g); /* As raft_quorum_completed_by. */
 void group_change_members (struct group *g, const raft_members *target, group_done done,
-                           void *arg); /* Reaches TARGET step by step; repeat a lost change. */
+                           void *arg); /* One member at a time; call again after a failure. */
 void group_confirm_leadership (struct group *g, group_done done,
                                void *arg); /* OK once a quorum confirms; then read the machine. */
-void group_peer_connected (struct group *g, uint64_t node); /* After connecting to NODE. */
+void group_peer_connected (struct group *g, uint64_t node); /* Connection is up: sends at once. */
 void group_stats (const struct group *g, struct group_stats *out);
 
 #endif
--- a/src/log/group_apply.c
+++ b/src/log/group_apply.c
@@ -7,10 +7,11 @@
 
 #include "counters.h"
 #include "log.h"
+#include "raft_log.h"
 
-#define KEEP_DIVISOR 4          /* at most 1 / this of the log limit is kept behind a snapshot */
-#define KEEP_MAX_ENTRIES 4096u  /* and at most this many entries, for peers slightly behind */
-#define TRANSFER_DEFER_FACTOR 4 /* log limit multiplier while a snapshot is being sent */
+#define KEEP_DIVISOR 4                /* at most 1/4 of the log limit is kept behind a snapshot */
+#define KEEP_MAX_ENTRIES 4096u        /* upper limit as well; both for peers slightly behind */
+#define SENDING_SNAPSHOT_LOG_FACTOR 4 /* raises the limit, as a newer snapshot restarts sending */
 
 static struct counter commits
     = { .name = "sassafras_log_commits_total", .help = "Commands applied by groups." };
@@ -74,7 +75,7 @@
   while (from > raft_first_index (g->raft) && index + 1 - from < KEEP_MAX_ENTRIES)
     {
       const raft_entry *e = raft_entry_at (g->raft, from - 1);
-      bytes += e->data.data_len + 64u;
+      bytes += e->data.data_len + RAFT_ENTRY_OVERHEAD_BYTES;
       if (bytes > budget)
         break;
       from--;
@@ -118,7 +119,7 @@
   if (limit < g->snapshot_bytes)
     limit = g->snapshot_bytes;
   if (raft_sending_snapshot (g->raft))
-    limit *= TRANSFER_DEFER_FACTOR;
+    limit *= SENDING_SNAPSHOT_LOG_FACTOR;
   uint64_t size = raft_log_bytes (g->raft);
   if (size < g->store->log_bytes)
     size = g->store->log_bytes;
--- a/src/log/group_internal.h
+++ b/src/log/group_internal.h
@@ -45,8 +45,8 @@
 int group_install (struct group *g, const struct raft_output *out,
                    struct status *st);       /* Stores and loads a received snapshot. */
 void group_maybe_snapshot (struct group *g); /* Takes a snapshot when the log is long. */
-void group_send (struct group *g, const raft_message *messages, size_t len); /* Sends a list. */
-void group_finish_all (struct group *g, enum status_kind proposals,
-                       const char *why); /* Completes every waiter when leadership ends. */
+void group_send (struct group *g, const raft_message *messages, size_t len);
+void group_finish_all (struct group *g, enum status_kind proposal_status,
+                       const char *why); /* Confirmations: NOT_LEADER; a change: OUTCOME_UNKNOWN. */
 
 #endif
--- a/src/log/journal.c
+++ b/src/log/journal.c
@@ -12,14 +12,14 @@
 #define LOG_TEMPORARY "log.new"
 #define SNAPSHOT_FILE "snapshot"
 #define SNAPSHOT_TEMPORARY "snapshot.new"
-#define NAME_BYTES 64
+#define TEXT_BYTES 64
 #define SCRATCH_KEEP_BYTES (1u << 20) /* larger encode buffers are freed after use */
 
 struct journal
 {
   struct store store; /* first member: the vtable */
   struct journal_io *io;
-  char name[NAME_BYTES];
+  char name[TEXT_BYTES];
   int log;                  /* file handle, -1 before the first save */
   int snapshot;             /* file handle, -1 when there is none */
   uint64_t log_size;        /* where the next frame goes */
@@ -27,23 +27,23 @@
   uint64_t snapshot_offset; /* where the state begins in the snapshot file */
   struct buffer scratch;
   bool failed;
-  char reason[NAME_BYTES]; /* why it failed */
+  char reason[TEXT_BYTES]; /* why it failed */
 };
 
 static int
-reject_write (struct journal *j, struct status *st)
+set_failed_status (struct journal *j, struct status *st)
 {
-  return status_set (st, STATUS_DISK_FAILED, "journal %s: %s; all further writes are rejected",
+  return status_set (st, STATUS_DISK_FAILED, "journal %s: %s; nothing is acknowledged any more",
                      j->name, j->reason);
 }
 
-/* Records a failed call on FILE; later writes are rejected.  */
+/* Records a failed call on FILE; later writes are refused.  */
 static int
 record_failure (struct journal *j, const char *call, const char *file, struct status *st)
 {
   j->failed = true;
   snprintf (j->reason, sizeof j->reason, "%s of %s failed: %s", call, file, strerror (errno));
-  return reject_write (j, st);
+  return set_failed_status (j, st);
 }
 
 static int
@@ -107,11 +107,11 @@
     return report_damage (j, LOG_FILE, 0, "the first record fails its checksum", st);
   if (frame_search (raw->data, raw->len, offset, j->sequence, &found))
     {
-      char what[NAME_BYTES];
+      char what[TEXT_BYTES];
       snprintf (what, sizeof what, "an intact record follows at byte %zu", found);
       return report_damage (j, LOG_FILE, offset, what, st);
     }
-  log_line (LOG_WARN, "journal %s: truncated torn write of %zu bytes at byte %zu", j->name,
+  log_line (LOG_WARN, "journal %s: torn write of %zu bytes at byte %zu cut", j->name,
             raw->len - offset, offset);
   if (j->io->ops->truncate (j->io, j->log, offset))
     return record_failure (j, "truncate", LOG_FILE, st);
@@ -133,7 +133,7 @@
       enum frame_check check = frame_read (raw->data, raw->len, offset, &sequence, &payload, &len);
       if (check == FRAME_VALID && sequence != j->sequence + 1)
         return report_damage (j, LOG_FILE, offset, "record out of sequence", st);
-      if (check == FRAME_END && offset == 0)
+      if (check == FRAME_NO_DATA && offset == 0)
         return report_damage (j, LOG_FILE, 0, "the file is empty", st);
       if (check == FRAME_INVALID && truncate_torn_frame (j, raw, offset, st))
         return -1;
@@ -149,10 +149,10 @@
   return 0;
 }
 
-/* A crash between the renames of a received snapshot and of its log leaves a log that may not
-   adjoin the snapshot; its entries are then unusable.  */
+/* A crash between the renames of a received snapshot and its log may leave unusable entries: they
+   start after a gap, end before the snapshot's index or have another term there.  */
 static bool
-log_adjoins_snapshot (const struct store_state *s)
+log_matches_snapshot (const struct store_state *s)
 {
   if (s->entries_len == 0 || s->entries[0].index == s->snapshot.index + 1)
     return true;
@@ -210,9 +210,9 @@
 }
 
 static int
-drop_disjoint_log (struct journal *j, struct store_state *out, struct status *st)
+drop_mismatched_log (struct journal *j, struct store_state *out, struct status *st)
 {
-  if (log_adjoins_snapshot (out))
+  if (log_matches_snapshot (out))
     return 0;
   for (size_t i = 0; i < out->entries_len; i++)
     free (out->entries[i].data.data_val);
@@ -237,7 +237,7 @@
   if (rc == 0 && j->log >= 0)
     rc = parse_log (j, &raw, out, st);
   if (rc == 0 && j->log >= 0)
-    rc = drop_disjoint_log (j, out, st);
+    rc = drop_mismatched_log (j, out, st);
   /* The node sends no reply before its first log exists.  */
   out->empty = j->log < 0;
   buffer_close (&raw);
@@ -250,7 +250,7 @@
 {
   struct journal *j = (struct journal *)s;
   if (j->failed)
-    return reject_write (j, st);
+    return set_failed_status (j, st);
   j->scratch.len = 0;
   frame_begin (&j->scratch);
   batch_encode (&j->scratch, hard, entries, len);
@@ -276,7 +276,7 @@
   struct journal *j = (struct journal *)s;
   struct buffer b;
   if (j->failed)
-    return reject_write (j, st);
+    return set_failed_status (j, st);
   buffer_init (&b);
   frame_begin (&b);
   snapshot_encode (&b, snapshot, hard->store);
--- a/src/log/journal.h
+++ b/src/log/journal.h
@@ -4,15 +4,15 @@
    struct store is the interface that a group uses; journal_open opens one in a folder and
    memory_store_open creates one in memory for a VM without a disk, which stays a learner.
 
-   A folder holds "lock", "log" and "snapshot".  The log is a sequence of frames, one per batch:
-   magic, payload length, sequence number, crc32 (zlib) of header and payload, payload.  A frame is
-   written and synced before the next one begins.  So an invalid last frame is a torn write and is
-   truncated, while an invalid frame with an intact one after it is corruption: opening fails with
-   STATUS_JOURNAL_DAMAGED and the frame's offset.  Corruption of the last frame cannot be
-   distinguished from a torn write.  A snapshot is written to a temporary file, synced and renamed;
-   then the log is rewritten in the same way without the entries it covers.
+   A folder holds "lock", "log" and "snapshot".  The log is a sequence of frames (records in
+   messages), one per batch: magic, payload length, sequence number, crc32 (zlib) of header and
+   payload, payload.  A frame is written and synced before the next one begins.  So an invalid last
+   frame is a torn write and is truncated, while an invalid frame with an intact one after it is
+   corruption: opening fails with STATUS_JOURNAL_DAMAGED and the frame's offset.  Corruption of the
+   last frame cannot be distinguished from a torn write.  A snapshot is written to a temporary file,
+   synced and renamed; then the log is rewritten in the same way without the entries it covers.
 
-   After a failed write or sync the store rejects all writes with STATUS_DISK_FAILED: the kernel may
+   After a failed write or sync the store refuses all writes with STATUS_DISK_FAILED: the kernel may
    have dropped the dirty pages, so a later successful sync does not prove that data is durable.  */
 
 #ifndef SASSAFRAS_JOURNAL_H
--- a/src/log/journal_codec.c
+++ b/src/log/journal_codec.c
@@ -120,7 +120,7 @@
             size_t *payload_len)
 {
   if (offset == len)
-    return FRAME_END;
+    return FRAME_NO_DATA;
   if (len - offset < FRAME_HEADER_BYTES)
     return FRAME_INVALID;
   const char *header = data + offset;
--- a/src/log/journal_codec.h
+++ b/src/log/journal_codec.h
@@ -19,7 +19,7 @@
 {
   FRAME_VALID,
   FRAME_INVALID,
-  FRAME_END, /* no data left */
+  FRAME_NO_DATA, /* no data left */
 };
 
 size_t frame_begin (struct buffer *b); /* Reserves a header; its offset. */
--- a/src/log/member_sync.h
+++ b/src/log/member_sync.h
@@ -25,7 +25,7 @@
 };
 
 void member_sync_init (struct member_sync *m, struct group *g,
-                       const char *name); /* Nothing to close; G must outlive its changes. */
+                       const char *name); /* M must outlive G: group_close completes a change. */
 void member_sync_tick (struct member_sync *m, raft_member *target, size_t count,
                        int64_t now_ms); /* Call while leading; sorts TARGET. */
 
--- a/src/log/raft.c
+++ b/src/log/raft.c
@@ -8,7 +8,7 @@
 {
   /* Heartbeats to six voters every 600 ms cost about 3 KB/s, and one lost heartbeat does not start
      an election.  The slowest follower starts one 1.5 s after the leader fails, which leaves 500 ms
-     for three round trips of 60 ms, the writes and one retry.  */
+     of the limit of 2 s for three round trips of 60 ms, the writes and one retry.  */
   return (struct raft_timing){ .heartbeat_ms = 600,
                                .learner_heartbeat_ms = 15000,
                                .election_min_ms = 1300,
@@ -138,7 +138,7 @@
 
 /* Replies to a message of an old term, so that its sender learns the current one.  */
 static void
-reject_stale_term (struct raft *r, const raft_message *m)
+reply_stale_term (struct raft *r, const raft_message *m)
 {
   raft_message_type type;
   switch (m->type)
@@ -159,13 +159,13 @@
   raft_queue (r, type, m->from);
 }
 
-/* Adopts the message's term where the protocol allows it; false when it is to be dropped.  */
+/* Adopts the message's term where the protocol allows it; false when the message is dropped.  */
 static bool
 check_term (struct raft *r, const raft_message *m, int64_t now_ms)
 {
   if (m->term < r->hard.term)
     {
-      reject_stale_term (r, m);
+      reply_stale_term (r, m);
       return false;
     }
   if (m->term == r->hard.term || m->type == RAFT_PRE_VOTE_REQUEST)
--- a/src/log/raft.h
+++ b/src/log/raft.h
@@ -45,8 +45,8 @@
 /* Periods in milliseconds; raft_default_timing suits one-way delays up to 30 ms.  */
 struct raft_timing
 {
-  int64_t heartbeat_ms;         /* leader to voters, and to learners that are not up to date */
-  int64_t learner_heartbeat_ms; /* leader to learners that are up to date */
+  int64_t heartbeat_ms;         /* leader to voters, and learners that lag or are to be promoted */
+  int64_t learner_heartbeat_ms; /* leader to all other learners */
   int64_t election_min_ms;      /* time without a leader before an election, lower bound */
   int64_t election_max_ms;      /* upper bound */
   int64_t retry_min_ms;         /* delay after a failed election, lower bound */
@@ -116,7 +116,7 @@
                           size_t entries_len, int64_t now_ms); /* Copies its arguments. */
 void raft_destroy (struct raft *r);
 void raft_tick (struct raft *r, int64_t now_ms); /* Runs timers; call every 10 to 100 ms. */
-void raft_receive (struct raft *r, const raft_message *m, int64_t now_ms); /* Handles a message. */
+void raft_receive (struct raft *r, const raft_message *m, int64_t now_ms);
 uint64_t raft_propose (struct raft *r, const void *data, size_t len,
                        struct status *st); /* Appends a command; its index, 0 when refused. */
 void raft_output (struct raft *r, struct raft_output *out, int64_t now_ms); /* Collects results. */
@@ -125,8 +125,9 @@
 bool raft_has_output (const struct raft *r);        /* True when raft_output has something new. */
 void raft_compact (struct raft *r, const struct raft_snapshot *snapshot,
                    uint64_t keep_from); /* Drops entries below KEEP_FROM (at most index + 1). */
-int raft_transfer_leadership (struct raft *r, uint64_t to, int64_t now_ms,
-                              struct status *st); /* To TO, or to the most up-to-date voter if 0. */
+int raft_transfer_leadership (
+    struct raft *r, uint64_t to, int64_t now_ms,
+    struct status *st); /* To TO, or if 0 to the active voter with the longest log. */
 int raft_set_target (struct raft *r, const raft_members *target,
                      struct status *st);         /* Changes members step by step towards TARGET. */
 bool raft_target_reached (const struct raft *r); /* No change is pending or uncommitted. */
@@ -156,8 +157,8 @@
                    int64_t now_ms);                /* Leader's view of its peers. */
 bool raft_sending_snapshot (const struct raft *r); /* A snapshot transfer is under way. */
 
-void raft_members_copy (raft_members *to, const raft_members *from);         /* Deep copy. */
-void raft_members_free (raft_members *m);                                    /* Frees the list. */
+void raft_members_copy (raft_members *to, const raft_members *from); /* Deep copy. */
+void raft_members_free (raft_members *m);
 const raft_member *raft_members_find (const raft_members *m, uint64_t node); /* NULL if absent. */
 
 #endif
--- a/src/log/raft_election.c
+++ b/src/log/raft_election.c
@@ -12,9 +12,9 @@
 static void
 schedule_retry (struct raft *r, int64_t now_ms)
 {
-  r->failed_elections++;
+  r->election_attempts++;
   /* The long delays vary widely: nodes with equal timeouts would otherwise keep colliding.  */
-  if (r->failed_elections > RAFT_MAX_QUICK_RETRIES)
+  if (r->election_attempts > RAFT_MAX_QUICK_RETRIES)
     r->election_ms
         = now_ms + rng_between (r->rng, r->timing.election_min_ms, 2 * r->timing.election_min_ms);
   else
@@ -56,7 +56,7 @@
       m->term = term;
       m->log_index = last;
       m->log_term = last_term;
-      m->granted = forced;
+      m->granted = forced; /* by a leadership transfer: a recent leader is ignored */
       m->store = p->member_store;
     }
 }
@@ -132,8 +132,8 @@
 
 /* Two nodes that start within one network delay of each other would both win the pre-vote and then
    split the vote.  So a pre-vote is granted to one candidate at a time, for a short period, and of
-   two candidates with equal logs the one with the lower id proceeds.  A longer log overrides an
-   earlier grant: its node may be the only one that can win.  Affects liveness only.  */
+   two with equal logs that request pre-votes of each other the lower id proceeds.  A longer log
+   overrides an earlier grant, as its node may be the only one to win.  Affects liveness only.  */
 static bool
 may_grant_pre_vote (struct raft *r, const raft_message *m, int64_t now_ms)
 {
@@ -145,9 +145,9 @@
   bool requesting = r->role == RAFT_PRE_CANDIDATE && now_ms - r->pre_vote_started_ms < window_ms;
   if (requesting && equal_logs && r->node < m->from)
     return false;
-  bool longer
-      = m->log_term > r->pre_vote_granted_term
-        || (m->log_term == r->pre_vote_granted_term && m->log_index > r->pre_vote_granted_index);
+  bool longer = m->log_term > r->pre_vote_granted_log_term
+                || (m->log_term == r->pre_vote_granted_log_term
+                    && m->log_index > r->pre_vote_granted_log_index);
   return longer || r->pre_vote_granted_to == m->from
          || now_ms - r->pre_vote_granted_ms >= window_ms;
 }
@@ -157,8 +157,8 @@
 {
   r->pre_vote_granted_to = m->from;
   r->pre_vote_granted_ms = now_ms;
-  r->pre_vote_granted_index = m->log_index;
-  r->pre_vote_granted_term = m->log_term;
+  r->pre_vote_granted_log_index = m->log_index;
+  r->pre_vote_granted_log_term = m->log_term;
   if (r->role == RAFT_PRE_CANDIDATE)
     {
       r->role = RAFT_FOLLOWER;
--- a/src/log/raft_follower.c
+++ b/src/log/raft_follower.c
@@ -4,7 +4,7 @@
 
 #include <string.h>
 
-#define SNAPSHOT_MAX_BYTES (UINT64_C (256) << 20) /* larger announced snapshots are rejected */
+#define SNAPSHOT_MAX_BYTES (UINT64_C (256) << 20) /* larger announced snapshots are refused */
 
 /* Records contact with the leader of the current term.  */
 static void
@@ -13,11 +13,11 @@
   if (r->role != RAFT_FOLLOWER || r->leader != leader)
     raft_become_follower (r, r->hard.term, leader, now_ms);
   r->leader_ms = now_ms;
-  r->failed_elections = 0;
+  r->election_attempts = 0;
   raft_reset_election (r, now_ms);
   if (r->hard.vote == 0)
     {
-      /* A store that joins during a term may have no vote in it; following counts as one.  */
+      /* A store that joins during a term has no recorded vote; following counts as one.  */
       r->hard.vote = leader;
       r->hard_dirty = true;
     }
@@ -60,12 +60,12 @@
   reply->granted = false;
   reply->log_index = hint;
   reply->log_term = term;
-  reply->commit = m->log_index;
+  reply->commit = m->log_index; /* in a rejection: the previous index of the append */
   reply->round = m->round;
   reply->stream = m->stream;
 }
 
-/* Stores the message's entries; entries that the log already holds are left unchanged.  */
+/* Appends the entries not yet held; a conflicting entry and all after it are dropped first.  */
 static void
 store_entries (struct raft *r, const raft_message *m)
 {
--- a/src/log/raft_internal.h
+++ b/src/log/raft_internal.h
@@ -10,7 +10,7 @@
 #define RAFT_WINDOW_BYTES                                                                          \
   262144u /* limit of unacknowledged bytes per peer: 30 Mbit/s over a 60 ms round trip */
 #define RAFT_CATCH_UP_ENTRIES 64u /* a learner this close behind may be promoted */
-#define RAFT_MAX_QUICK_RETRIES 12 /* failed elections after which the retry delays become long */
+#define RAFT_MAX_QUICK_RETRIES 12 /* pre-votes, elections and grants with short retry delays */
 
 enum peer_state
 {
@@ -89,12 +89,12 @@
   struct message_list now;
   struct message_list after;
 
-  int64_t pre_vote_started_ms;     /* start of this node's pre-vote round */
-  uint64_t pre_vote_granted_to;    /* candidate whose pre-vote request was granted last */
-  int64_t pre_vote_granted_ms;     /* when */
-  uint64_t pre_vote_granted_index; /* last entry of its log */
-  uint64_t pre_vote_granted_term;
-  int failed_elections;
+  int64_t pre_vote_started_ms;         /* start of this node's pre-vote round */
+  uint64_t pre_vote_granted_to;        /* candidate whose pre-vote request was granted last */
+  int64_t pre_vote_granted_ms;         /* when */
+  uint64_t pre_vote_granted_log_index; /* last entry of its log */
+  uint64_t pre_vote_granted_log_term;
+  int election_attempts;
   bool hard_dirty;    /* HARD is not on disk yet */
   bool self_granted;  /* this node's vote is durable */
   bool round_open;    /* ROUND has not been sent yet */
--- a/src/log/raft_leader.c
+++ b/src/log/raft_leader.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define REACHABLE_MS 700 /* a heartbeat period plus a round trip between regions */
+#define VOTER_REPLY_MAX_AGE_MS 700 /* reachable: a heartbeat period plus one inter-region RTT */
 
 static bool
 is_active (const struct raft *r, const struct raft_peer *p, int64_t now_ms)
@@ -17,7 +17,7 @@
 {
   r->role = RAFT_LEADER;
   r->leader = r->node;
-  r->failed_elections = 0;
+  r->election_attempts = 0;
   r->transfer_to = 0;
   r->quorum_completed_by = 0;
   r->round++;
@@ -74,13 +74,13 @@
   for (size_t i = 0; i < r->peers_len; i++)
     {
       struct raft_peer *p = &r->peers[i];
-      int64_t silent_ms = now_ms - p->sent_ms;
+      int64_t since_sent_ms = now_ms - p->sent_ms;
       bool commit_due = p->state == PEER_REPLICATE && p->sent_commit < r->commit
-                        && silent_ms >= r->timing.commit_notice_ms;
-      if (silent_ms < send_period (r, p) && !commit_due)
+                        && since_sent_ms >= r->timing.commit_notice_ms;
+      if (since_sent_ms < send_period (r, p) && !commit_due)
         continue;
       p->send_now = true;
-      if (silent_ms >= r->timing.heartbeat_ms)
+      if (since_sent_ms >= r->timing.heartbeat_ms)
         p->outstanding = false;
     }
 }
@@ -133,7 +133,7 @@
 }
 
 static void
-try_finish_transfer (struct raft *r, const struct raft_peer *p)
+send_timeout_now_if_caught_up (struct raft *r, const struct raft_peer *p)
 {
   if (r->transfer_to != p->node || r->transfer_sent || p->match < raft_log_last (&r->log))
     return;
@@ -161,7 +161,7 @@
       p->outstanding = false;
     }
   raft_advance_commit (r);
-  try_finish_transfer (r, p);
+  send_timeout_now_if_caught_up (r, p);
 }
 
 /* When one append of a pipeline is lost, all later ones are rejected.  The first rejection restarts
@@ -257,10 +257,10 @@
 entries_to_send (const struct raft *r, const struct raft_peer *p)
 {
   uint64_t last = raft_log_last (&r->log);
-  uint64_t before = raft_log_end (&r->log, p->next - 1);
+  uint64_t before = raft_log_end_bytes (&r->log, p->next - 1);
   uint64_t index = p->next;
   while (index <= last && index - p->next < PEER_MAX_ENTRIES
-         && (index == p->next || raft_log_end (&r->log, index) - before <= r->append_bytes))
+         && (index == p->next || raft_log_end_bytes (&r->log, index) - before <= r->append_bytes))
     index++;
   return (u_int)(index - p->next);
 }
@@ -272,7 +272,8 @@
     return false;
   if (p->state == PEER_PROBE)
     return !p->outstanding;
-  uint64_t unacknowledged = raft_log_end (&r->log, p->next - 1) - raft_log_end (&r->log, p->match);
+  uint64_t unacknowledged
+      = raft_log_end_bytes (&r->log, p->next - 1) - raft_log_end_bytes (&r->log, p->match);
   return unacknowledged < p->window;
 }
 
@@ -362,7 +363,7 @@
   for (size_t i = 0; i < r->peers_len; i++)
     {
       const struct raft_peer *p = &r->peers[i];
-      if (p->voter && (p->round_acked == 0 || now_ms - p->reply_ms > REACHABLE_MS))
+      if (p->voter && (p->round_acked == 0 || now_ms - p->reply_ms > VOTER_REPLY_MAX_AGE_MS))
         return 0;
     }
   return r->quorum_completed_by;
@@ -422,6 +423,6 @@
   r->transfer_sent = false;
   r->transfer_until_ms = now_ms + r->timing.election_min_ms;
   p->send_now = true;
-  try_finish_transfer (r, p);
+  send_timeout_now_if_caught_up (r, p);
   return 0;
 }
--- a/src/log/raft_log.c
+++ b/src/log/raft_log.c
@@ -27,7 +27,7 @@
 {
   free_range (l, 0, l->len);
   free (l->entries);
-  free (l->ends);
+  free (l->end_bytes);
   raft_log_init (l, 1, 0);
 }
 
@@ -66,13 +66,13 @@
   if (l->head > l->capacity / 2)
     {
       memmove (l->entries, l->entries + l->head, l->len * sizeof *l->entries);
-      memmove (l->ends, l->ends + l->head, l->len * sizeof *l->ends);
+      memmove (l->end_bytes, l->end_bytes + l->head, l->len * sizeof *l->end_bytes);
       l->head = 0;
       return;
     }
   l->capacity = l->capacity ? l->capacity * 2 : MIN_CAPACITY;
   l->entries = xrealloc (l->entries, l->capacity * sizeof *l->entries);
-  l->ends = xrealloc (l->ends, l->capacity * sizeof *l->ends);
+  l->end_bytes = xrealloc (l->end_bytes, l->capacity * sizeof *l->end_bytes);
 }
 
 void
@@ -89,7 +89,7 @@
   e->data.data_val = xmalloc (len);
   if (len > 0)
     memcpy (e->data.data_val, data, len);
-  l->ends[at] = raft_log_end (l, e->index) + len + RAFT_ENTRY_OVERHEAD_BYTES;
+  l->end_bytes[at] = raft_log_end_bytes (l, e->index) + len + RAFT_ENTRY_OVERHEAD_BYTES;
   l->len++;
 }
 
@@ -111,13 +111,13 @@
   size_t count = (size_t)(before - l->first);
   uint64_t term = 0;
   raft_log_term (l, before - 1, &term);
-  uint64_t start = raft_log_end (l, before - 1);
+  uint64_t start_bytes = raft_log_end_bytes (l, before - 1);
   free_range (l, 0, count);
   l->head += count;
   l->len -= count;
   l->first = before;
   l->prev_term = term;
-  l->start = start;
+  l->start_bytes = start_bytes;
 }
 
 void
@@ -131,18 +131,18 @@
 }
 
 uint64_t
-raft_log_end (const struct raft_log *l, uint64_t index)
+raft_log_end_bytes (const struct raft_log *l, uint64_t index)
 {
   if (index < l->first || l->len == 0)
-    return l->start;
+    return l->start_bytes;
   size_t at = (size_t)(index - l->first);
   if (at >= l->len)
     at = l->len - 1;
-  return l->ends[l->head + at];
+  return l->end_bytes[l->head + at];
 }
 
 uint64_t
-raft_log_size (const struct raft_log *l)
+raft_log_held_bytes (const struct raft_log *l)
 {
-  return raft_log_end (l, raft_log_last (l)) - l->start;
+  return raft_log_end_bytes (l, raft_log_last (l)) - l->start_bytes;
 }
--- a/src/log/raft_members.c
+++ b/src/log/raft_members.c
@@ -173,7 +173,7 @@
       const raft_member *m = &target->members.members_val[i];
       voters += m->voter ? 1 : 0;
       if (m->node == 0 || raft_members_find (target, m->node) != m)
-        return status_set (st, STATUS_BAD_REQUEST, "member %llu is zero or listed twice",
+        return status_set (st, STATUS_BAD_REQUEST, "member %llu is zero or named twice",
                            (unsigned long long)m->node);
     }
   if (voters == 0)
@@ -184,7 +184,7 @@
   const raft_member *self = raft_members_find (target, r->node);
   if (!self || !self->voter)
     return status_set (st, STATUS_BAD_REQUEST,
-                       "leader %llu is not a voter of the new list: transfer leadership first",
+                       "the leader, node %llu, is not a voter of the new list: transfer first",
                        (unsigned long long)r->node);
   return 0;
 }
@@ -270,7 +270,8 @@
   return first;
 }
 
-/* A member to remove or demote; with ONLY_FAILED, one that is unreachable or lost its disk.  */
+/* A member that the target removes or demotes; with ONLY_FAILED, an inactive one or one that lost
+   its disk.  Failed members are removed before promotions, the others after them.  */
 static struct raft_peer *
 next_removal (struct raft *r, int64_t now_ms, bool only_failed)
 {
--- a/src/log/raft_state.c
+++ b/src/log/raft_state.c
@@ -47,13 +47,14 @@
 uint64_t
 raft_log_bytes (const struct raft *r)
 {
-  return raft_log_size (&r->log);
+  return raft_log_held_bytes (&r->log);
 }
 
 uint64_t
 raft_uncommitted_bytes (const struct raft *r)
 {
-  return raft_log_end (&r->log, raft_log_last (&r->log)) - raft_log_end (&r->log, r->commit);
+  return raft_log_end_bytes (&r->log, raft_log_last (&r->log))
+         - raft_log_end_bytes (&r->log, r->commit);
 }
 
 const raft_entry *
--- a/tests/log_sim.h
+++ b/tests/log_sim.h
@@ -127,7 +127,7 @@
   FILE *trace;
 };
 
-void sim_init (struct sim *s, const struct sim_config *config); /* Starts all nodes. */
+void sim_init (struct sim *s, const struct sim_config *config); /* Nodes are not started yet. */
 void sim_close (struct sim *s);
 void sim_step (struct sim *s); /* Advances by one step: deliveries, ticks, flushes. */
 void sim_run_ms (struct sim *s, int64_t ms);
--- a/tests/memory_disk.c
+++ b/tests/memory_disk.c
@@ -13,7 +13,7 @@
 {
   uint64_t offset;
   struct buffer data;
-  bool truncate; /* cut at OFFSET instead */
+  bool truncate; /* truncates the file to OFFSET; DATA is unused */
 };
 
 struct disk_file
--- a/tests/test_group.c
+++ b/tests/test_group.c
@@ -166,14 +166,14 @@
       start_all (&s);
       assert_non_null (wait_leader (&s, 5000));
       sim_run_ms (&s, 1000 + (int64_t)seed * 13);
-      int64_t death = sim_now_ms (&s);
+      int64_t crash_ms = sim_now_ms (&s);
       sim_crash (&s, sim_leader (&s), -1);
-      while (s.ok == 0 && sim_now_ms (&s) - death < 5000)
+      while (s.ok == 0 && sim_now_ms (&s) - crash_ms < 5000)
         {
           sim_propose (&s, sim_leader (&s), 8);
           sim_step (&s);
         }
-      assert_true (sim_now_ms (&s) - death < 2000);
+      assert_true (sim_now_ms (&s) - crash_ms < 2000);
       assert_no_violation (&s);
       sim_close (&s);
     }
@@ -286,8 +286,8 @@
   sim_close (&s);
 }
 
-/* While a voter is unreachable, other voters than usual form the quorum: it must not decide where
-   leadership is transferred.  */
+/* While a voter is unreachable, another voter than usual completes the quorum.  That voter must not
+   be reported, since leadership would be transferred to it.  */
 static void
 test_quorum_voter_reported_only_while_all_voters_reply (void **state)
 {
