--- a/src/cell/cell_service.c
+++ b/src/cell/cell_service.c
@@ -125,7 +125,7 @@
   member_sync_init (&s->members, g, s->config.data_centre);
 }
 
-/* Rejects a job that can never run, before it is logged.  The plan may allow less than the largest
+/* Refuses a job that can never run, before it is logged.  The plan may allow less than the largest
    worker: a task above that limit would stay pending forever.  */
 static int
 check_plan (const struct cell_service *s, const cell_job_spec *spec, struct status *st)
--- a/src/cell/cell_service.h
+++ b/src/cell/cell_service.h
@@ -65,7 +65,7 @@
                            struct status *st); /* Registers a worker; leader only. */
 int cell_service_poll (struct cell_service *s, const struct worker_poll *p, bool wait,
                        cell_poll_fn *done, void *arg,
-                       struct status *st);       /* -1 if rejected: DONE is not called. */
+                       struct status *st);       /* -1 if refused: DONE is not called. */
 void cell_service_stop (struct cell_service *s); /* Planned stop: answers polls, steps down. */
 json_t *cell_service_state (const struct cell_service *s); /* For the state dump. */
 
--- a/src/log/raft.h
+++ b/src/log/raft.h
@@ -103,7 +103,7 @@
   uint64_t node;
   bool voter;
   bool active;      /* replied within timing.quorum_ms */
-  bool snapshot;    /* a snapshot transfer is under way */
+  bool snapshot;    /* a snapshot is being sent */
   bool wrong_store; /* a voter whose disk was replaced: it cannot vote */
   uint64_t match;   /* last entry known to be stored there */
 };
@@ -155,7 +155,7 @@
 struct raft_hard_state raft_hard_state (const struct raft *r);
 size_t raft_peers (const struct raft *r, struct raft_peer_view *out, size_t max,
                    int64_t now_ms);                /* Leader's view of its peers. */
-bool raft_sending_snapshot (const struct raft *r); /* A snapshot transfer is under way. */
+bool raft_sending_snapshot (const struct raft *r); /* A snapshot is being sent. */
 
 void raft_members_copy (raft_members *to, const raft_members *from); /* Deep copy. */
 void raft_members_free (raft_members *m);
--- a/src/registry/registry.c
+++ b/src/registry/registry.c
@@ -191,7 +191,7 @@
 }
 
 static void
-reject_entry (enum status_kind kind, const char *reason, uint64_t index, struct buffer *out)
+refuse_entry (enum status_kind kind, const char *reason, uint64_t index, struct buffer *out)
 {
   registry_result result = { 0 };
   result.index = index;
@@ -209,7 +209,7 @@
   if (index <= r->state.applied)
     {
       counter_add (&stale_total, 1);
-      reject_entry (STATUS_INTERNAL, "this index was already applied", index, out);
+      refuse_entry (STATUS_INTERNAL, "this index was already applied", index, out);
       return;
     }
   r->state.applied = index;
@@ -219,7 +219,7 @@
   xdr_destroy (&xdrs);
   uint64_t digest = command_digest (data, len);
   if (!valid)
-    reject_entry (STATUS_BAD_REQUEST, "the command cannot be decoded", index, out);
+    refuse_entry (STATUS_BAD_REQUEST, "the command cannot be decoded", index, out);
   else if (!command.request_id[0] || !answer_repeated_command (r, &command, digest, out))
     apply_new_command (r, index, &command, digest, out);
   xdr_free ((xdrproc_t)xdr_registry_command, (char *)&command);
--- a/src/registry/registry.h
+++ b/src/registry/registry.h
@@ -2,7 +2,7 @@
 
    Holds the two lists with their version, the data centres (in or out, epoch of the cell), the
    members, and the last 4,096 answers by request id.  Commands, results and the snapshot are XDR
-   (registry_proto.x).  apply never rejects a list by its content: lists are validated before the
+   (registry_proto.x).  apply never refuses a list by its content: lists are validated before the
    command is proposed, because the rules may differ between program versions during a rolling
    upgrade.
 
--- a/src/registry/registry_commands.c
+++ b/src/registry/registry_commands.c
@@ -311,7 +311,7 @@
   return x->node < y->node ? -1 : x->node > y->node;
 }
 
-/* Undoes a rejected init: without members there is no data centre either.  */
+/* Undoes a refused init: without members there is no data centre either.  */
 static void
 clear_members (struct registry *r)
 {
--- a/src/workflow/dispatcher.c
+++ b/src/workflow/dispatcher.c
@@ -307,7 +307,7 @@
   d->authority_until_ms = until_ms;
 }
 
-/* After a rejected placement the task keeps waiting; a rejected end is proposed again when the
+/* After a refused placement the task keeps waiting; a refused end is proposed again when the
    worker lists it again, or when its proof is found again.  */
 void
 dispatcher_proposed (struct dispatcher *d, int64_t now_ms, uint64_t token, bool applied)
--- a/src/workflow/dispatcher_internal.h
+++ b/src/workflow/dispatcher_internal.h
@@ -38,7 +38,7 @@
 #define STOP_RETRY_MS 300        /* between two stop orders for one run */
 #define NO_ROOM_PAUSE_MS 400     /* no tasks for a worker that refused for lack of capacity */
 #define START_RETRY_MS 100       /* wait of a task whose start was refused */
-#define GONE_RETENTION_MS 60000  /* gone workers are kept, to reject late reports */
+#define GONE_RETENTION_MS 60000  /* gone workers are kept, to refuse late reports */
 #define AVOID_MIN_MS 1000        /* after the second failure in a row; doubles */
 #define AVOID_MAX_MS 16000
 /* Tails are averages over half a second, so the fill-in mix is smoothed in the same way.  */
--- a/tests/test_dispatcher.c
+++ b/tests/test_dispatcher.c
@@ -264,7 +264,7 @@
   dispatcher_hold_answer (f->dispatcher, f->now_ms, "w1", WORKER_CALL_OK, &lists);
   fixture_tick (f, 20);
   assert_int_equal (f->start_count, 2);
-  /* A late report of the earlier incarnation is rejected.  */
+  /* A late report of the earlier incarnation is refused.  */
   struct worker_report late = fixture_worker (f, "w1", "10.0.0.1:1");
   assert_int_equal (dispatcher_report (f->dispatcher, f->now_ms, &late, &st), -1);
 }
--- a/tests/test_slack_model.c
+++ b/tests/test_slack_model.c
@@ -61,7 +61,7 @@
   return image;
 }
 
-/* Half a second: each worker reports, then gets new fill-in tasks, which the model may reject.  */
+/* Half a second: each worker reports, then gets new fill-in tasks, which the model may refuse.  */
 static double
 step (struct simulation *r, double at_s, bool use_model, double *done)
 {
