--- a/tests/test_worker_calls.c
+++ b/tests/test_worker_calls.c
@@ -56,7 +56,7 @@
   assert_non_null (f->worker);
   snprintf (f->address, sizeof f->address, "127.0.0.1:%d", http_server_port (f->worker));
   f->calls = worker_calls_open (f->loop, clock_real ());
-  worker_calls_report_to (f->calls, on_outcome, f);
+  worker_calls_set_outcome_handler (f->calls, on_outcome, f);
 }
 
 static void
