--- a/standins/runner.c
+++ b/standins/runner.c
@@ -1,13 +1,13 @@
 /* runner_standin: a small HTTP backend server for tests.
 
    Serves any path.  Query parameters of a request override the flags: ms (service time), bytes
-   (length of the answer), tag (text the answer repeats), code, mode.  Modes: normal, normal-close,
-   echo, chunked, chunked-truncated, truncated, overlong, overlong-close, garbage, two-lengths,
-   no-length, not-run, reset, hang, trickle.  GET /standin/executions?key=K answers how often
-   requests with Idempotency-Key K were executed; GET /standin/stats answers totals.
+   (length of the answer), tag (text that the answer repeats), code, mode.  Modes: normal,
+   normal-close, echo, chunked, chunked-truncated, truncated, overlong, overlong-close, garbage,
+   two-lengths, no-length, not-run, reset, hang, trickle.  GET /standin/executions?key=K returns how
+   often requests with Idempotency-Key K were executed; GET /standin/stats returns totals.
 
-   Announces itself every 500 ms to the first entry address that answers, the next one when it does
-   not.  SIGTERM: departs, serves what comes within 2.5 s, finishes what is in flight and exits.  */
+   Announces itself every 500 ms to an entry address; after a failure it uses the next one.  On
+   SIGTERM it departs, accepts requests for 2.5 s more, finishes those in flight and exits.  */
 #include <argtable2.h>
 #include <arpa/inet.h>
 #include <ev.h>
@@ -30,11 +30,11 @@
 #include "rng.h"
 
 #define ANNOUNCE_S 0.5
-#define LINGER_S 2.5
+#define DRAIN_S 2.5
 #define MAX_ENTRIES 32
 #define MAX_BODY (64 * 1024 * 1024)
 #define READ_BYTES 65536
-#define OVERLONG_BYTES 10
+#define EXCESS_BYTES 10
 #define TRICKLE_BYTES 1024
 #define TRICKLE_S 0.02
 
@@ -45,13 +45,13 @@
   SLIST_ENTRY (executions) link;
 };
 
-struct standin
+struct runner_standin
 {
   struct ev_loop *loop;
   int listener;
   ev_io accept_watch;
   ev_timer announce_timer;
-  ev_timer linger_timer;
+  ev_timer drain_timer;
   ev_signal term_watch;
   struct http_client *client;
   struct rng rng;
@@ -69,21 +69,21 @@
   double error_rate;
   const char *mode;
   unsigned in_service;
-  unsigned waiting;
-  unsigned busy; /* connections whose request is being executed or answered */
+  unsigned queued;
+  unsigned busy_connections; /* connections whose request is being executed or answered */
   unsigned long executed;
-  unsigned open;
+  unsigned open_connections;
   bool departing;
-  bool lingered;
-  SLIST_HEAD (, executions) keys;
+  bool drained;
+  SLIST_HEAD (, executions) executions;
   TAILQ_HEAD (, conn) queue;
   LIST_HEAD (, conn) conns;
 };
 
-/* One connection and the request on it.  */
+/* A connection and its current request.  */
 struct conn
 {
-  struct standin *s;
+  struct runner_standin *s;
   int fd;
   ev_io io;
   ev_timer timer;
@@ -110,9 +110,9 @@
 static void next_request (struct conn *c);
 
 static void
-check_exit (struct standin *s)
+check_exit (struct runner_standin *s)
 {
-  if (s->departing && s->lingered && s->busy == 0)
+  if (s->departing && s->drained && s->busy_connections == 0)
     ev_break (s->loop, EVBREAK_ALL);
 }
 
@@ -123,46 +123,46 @@
     return;
   c->busy = busy;
   if (busy)
-    c->s->busy++;
+    c->s->busy_connections++;
   else
-    c->s->busy--;
+    c->s->busy_connections--;
 }
 
-static void start_waiting (struct standin *s);
+static void start_queued (struct runner_standin *s);
 
 static void
-leave_service (struct conn *c)
+release_slot (struct conn *c)
 {
   if (c->queued)
     {
       TAILQ_REMOVE (&c->s->queue, c, link);
       c->queued = false;
-      c->s->waiting--;
+      c->s->queued--;
     }
   if (c->serving)
     {
       c->serving = false;
       c->s->in_service--;
-      start_waiting (c->s);
+      start_queued (c->s);
     }
 }
 
 static void
 close_conn (struct conn *c)
 {
-  struct standin *s = c->s;
+  struct runner_standin *s = c->s;
   ev_io_stop (s->loop, &c->io);
   ev_timer_stop (s->loop, &c->timer);
   close (c->fd);
   LIST_REMOVE (c, conn_link);
-  leave_service (c);
+  release_slot (c);
   set_busy (c, false);
   buffer_close (&c->in);
   buffer_close (&c->out);
   buffer_close (&c->body);
   free (c->head);
   free (c);
-  s->open--;
+  s->open_connections--;
   check_exit (s);
 }
 
@@ -194,9 +194,9 @@
   to[n] = '\0';
 }
 
-/* Value of NAME in the query of the request line.  */
+/* Copies the value of NAME in the query of the request line to OUT; false when it is absent.  */
 static bool
-query (const char *head, const char *name, char *out, size_t size)
+query_parameter (const char *head, const char *name, char *out, size_t size)
 {
   char line[2048];
   char wanted[32];
@@ -215,15 +215,15 @@
 }
 
 static struct executions *
-executions_of (struct standin *s, const char *key)
+get_executions (struct runner_standin *s, const char *key)
 {
   struct executions *e;
-  SLIST_FOREACH (e, &s->keys, link)
+  SLIST_FOREACH (e, &s->executions, link)
   if (strcmp (e->key, key) == 0)
     return e;
   e = xcalloc (1, sizeof *e);
   e->key = xstrdup (key);
-  SLIST_INSERT_HEAD (&s->keys, e, link);
+  SLIST_INSERT_HEAD (&s->executions, e, link);
   return e;
 }
 
@@ -236,7 +236,7 @@
   if (!value)
     return;
   copy_value (value, "\r", key, sizeof key);
-  executions_of (c->s, key)->count++;
+  get_executions (c->s, key)->count++;
 }
 
 static void
@@ -256,17 +256,17 @@
 write_head (struct conn *c, const char *framing)
 {
   buffer_printf (&c->out, "HTTP/1.1 %d Answer\r\nSassafras-In-Flight: %u\r\nX-Tag: %s\r\n%s%s\r\n",
-                 c->code, c->s->in_service + c->s->waiting, c->tag,
+                 c->code, c->s->in_service + c->s->queued, c->tag,
                  c->close_after ? "Connection: close\r\n" : "", framing);
 }
 
 static void
-write_chunked (struct conn *c, const struct buffer *body, bool whole)
+write_chunked (struct conn *c, const struct buffer *body, bool complete)
 {
   write_head (c, "Transfer-Encoding: chunked\r\n");
   buffer_printf (&c->out, "%zx\r\n", body->len);
   buffer_append (&c->out, body->data, body->len);
-  buffer_printf (&c->out, whole ? "\r\n0\r\n\r\n" : "\r\n");
+  buffer_printf (&c->out, complete ? "\r\n0\r\n\r\n" : "\r\n");
 }
 
 static void
@@ -284,7 +284,7 @@
   buffer_append (&c->out, body->data,
                  strcmp (c->mode, "truncated") == 0 ? body->len / 2 : body->len);
   if (strncmp (c->mode, "overlong", 8) == 0)
-    buffer_append (&c->out, "excess bytes", OVERLONG_BYTES);
+    buffer_append (&c->out, "excess bytes", EXCESS_BYTES);
 }
 
 static void
@@ -313,12 +313,12 @@
 }
 
 static void
-answer (struct conn *c)
+send_answer (struct conn *c)
 {
   if (strcmp (c->mode, "reset") == 0)
     {
-      struct linger hard = { 1, 0 };
-      setsockopt (c->fd, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+      struct linger abort_on_close = { 1, 0 };
+      setsockopt (c->fd, SOL_SOCKET, SO_LINGER, &abort_on_close, sizeof abort_on_close);
       close_conn (c);
       return;
     }
@@ -326,7 +326,7 @@
   if (c->hang)
     return;
   write_answer (c);
-  leave_service (c);
+  release_slot (c);
   watch (c, EV_READ | EV_WRITE);
 }
 
@@ -337,9 +337,9 @@
   (void)loop;
   (void)events;
   if (c->serving)
-    answer (c);
+    send_answer (c);
   else
-    watch (c, EV_READ | EV_WRITE); /* next piece of a trickled answer */
+    watch (c, EV_READ | EV_WRITE); /* next part of a trickled answer */
 }
 
 static void
@@ -356,14 +356,14 @@
 }
 
 static void
-start_waiting (struct standin *s)
+start_queued (struct runner_standin *s)
 {
   while (!TAILQ_EMPTY (&s->queue) && s->in_service < (unsigned)s->slots)
     {
       struct conn *c = TAILQ_FIRST (&s->queue);
       TAILQ_REMOVE (&s->queue, c, link);
       c->queued = false;
-      s->waiting--;
+      s->queued--;
       execute (c);
     }
 }
@@ -372,20 +372,20 @@
 read_parameters (struct conn *c)
 {
   char text[64];
-  struct standin *s = c->s;
+  struct runner_standin *s = c->s;
   snprintf (c->mode, sizeof c->mode, "%s", s->mode);
   snprintf (c->tag, sizeof c->tag, "answer ");
   c->code = 200;
   c->ms = s->service_ms;
   c->bytes = 64;
   c->close_after = false;
-  query (c->head, "mode", c->mode, sizeof c->mode);
-  query (c->head, "tag", c->tag, sizeof c->tag);
-  if (query (c->head, "ms", text, sizeof text))
+  query_parameter (c->head, "mode", c->mode, sizeof c->mode);
+  query_parameter (c->head, "tag", c->tag, sizeof c->tag);
+  if (query_parameter (c->head, "ms", text, sizeof text))
     c->ms = strtod (text, NULL);
-  if (query (c->head, "bytes", text, sizeof text))
+  if (query_parameter (c->head, "bytes", text, sizeof text))
     c->bytes = strtol (text, NULL, 10);
-  if (query (c->head, "code", text, sizeof text))
+  if (query_parameter (c->head, "code", text, sizeof text))
     c->code = (int)strtol (text, NULL, 10);
 }
 
@@ -394,12 +394,12 @@
 {
   char key[256] = "";
   char text[128];
-  query (c->head, "key", key, sizeof key);
+  query_parameter (c->head, "key", key, sizeof key);
   if (strstr (c->head, "/standin/executions"))
-    snprintf (text, sizeof text, "%u", executions_of (c->s, key)->count);
+    snprintf (text, sizeof text, "%u", get_executions (c->s, key)->count);
   else
     snprintf (text, sizeof text, "{\"executed\":%lu,\"open\":%u,\"in_service\":%u}", c->s->executed,
-              c->s->open, c->s->in_service);
+              c->s->open_connections, c->s->in_service);
   buffer_printf (&c->out, "HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n\r\n%s", strlen (text), text);
   watch (c, EV_READ | EV_WRITE);
 }
@@ -415,14 +415,14 @@
     }
   read_parameters (c);
   c->queued = true;
-  c->s->waiting++;
+  c->s->queued++;
   TAILQ_INSERT_TAIL (&c->s->queue, c, link);
-  start_waiting (c->s);
+  start_queued (c->s);
 }
 
-/* Moves whole chunks from the input to the body; 1 at the end, 0 for more, -1 for a fault.  */
+/* Moves complete chunks to the body: 1 after the last chunk, 0 for more input, -1 on an error.  */
 static int
-take_chunks (struct conn *c)
+consume_chunks (struct conn *c)
 {
   for (;;)
     {
@@ -443,13 +443,13 @@
 }
 
 static int
-take_body (struct conn *c)
+consume_body (struct conn *c)
 {
   const char *coding = find_header (c->head, "Transfer-Encoding");
   const char *length = find_header (c->head, "Content-Length");
   size_t n = length ? strtoul (length, NULL, 10) : 0;
   if (coding)
-    return take_chunks (c);
+    return consume_chunks (c);
   if (n > MAX_BODY)
     return -1;
   size_t missing = n - c->body.len;
@@ -474,17 +474,17 @@
       memcpy (c->head, c->in.data, len);
       buffer_consume (&c->in, len);
     }
-  int whole = take_body (c);
-  if (whole < 0)
+  int result = consume_body (c);
+  if (result < 0)
     close_conn (c);
-  else if (whole > 0)
+  else if (result > 0)
     run_request (c);
 }
 
 static void
 end_answer (struct conn *c)
 {
-  struct standin *s = c->s;
+  struct runner_standin *s = c->s;
   if (c->close_after)
     {
       close_conn (c);
@@ -550,7 +550,7 @@
 static void
 on_accept (struct ev_loop *loop, ev_io *w, int events)
 {
-  struct standin *s = w->data;
+  struct runner_standin *s = w->data;
   int on = 1;
   (void)events;
   int fd = accept4 (s->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -560,7 +560,7 @@
   struct conn *c = xcalloc (1, sizeof *c);
   c->s = s;
   c->fd = fd;
-  s->open++;
+  s->open_connections++;
   LIST_INSERT_HEAD (&s->conns, c, conn_link);
   ev_timer_init (&c->timer, on_service_timer, 0.0, 0.0);
   ev_io_init (&c->io, on_conn, fd, EV_READ);
@@ -570,7 +570,7 @@
 }
 
 static void
-post (struct standin *s, const char *path, const char *body, http_answer_fn *done)
+post (struct runner_standin *s, const char *path, const char *body, http_answer_fn *done)
 {
   char url[128];
   static const char *const headers[] = { "Content-Type: application/json", NULL };
@@ -589,7 +589,7 @@
 static void
 on_announced (void *arg, const struct http_answer *a)
 {
-  struct standin *s = arg;
+  struct runner_standin *s = arg;
   if (a->code != 200)
     s->entry = (s->entry + 1) % s->entry_count;
 }
@@ -597,7 +597,7 @@
 static void
 on_announce_timer (struct ev_loop *loop, ev_timer *w, int events)
 {
-  struct standin *s = w->data;
+  struct runner_standin *s = w->data;
   char body[512];
   (void)loop;
   (void)events;
@@ -607,24 +607,24 @@
             "{\"id\":\"%s\",\"service\":\"%s\",\"address\":\"%s\",\"data_centre\":\"%s\","
             "\"slots\":%d,\"connections\":%d,\"in_flight\":%u,\"incarnation\":%lld}",
             s->id, s->service, s->address, s->data_centre, s->slots, s->connections,
-            s->in_service + s->waiting, s->incarnation);
+            s->in_service + s->queued, s->incarnation);
   post (s, "/v1/runners/announce", body, on_announced);
 }
 
-static void depart (struct standin *s);
+static void depart (struct runner_standin *s);
 
 static void
 on_departed (void *arg, const struct http_answer *a)
 {
-  struct standin *s = arg;
-  if (a->code == 200 || s->lingered)
+  struct runner_standin *s = arg;
+  if (a->code == 200 || s->drained)
     return;
   s->entry = (s->entry + 1) % s->entry_count;
   depart (s);
 }
 
 static void
-depart (struct standin *s)
+depart (struct runner_standin *s)
 {
   char body[160];
   snprintf (body, sizeof body, "{\"id\":\"%s\",\"incarnation\":%lld}", s->id, s->incarnation);
@@ -632,31 +632,31 @@
 }
 
 static void
-on_linger (struct ev_loop *loop, ev_timer *w, int events)
+on_drained (struct ev_loop *loop, ev_timer *w, int events)
 {
-  struct standin *s = w->data;
+  struct runner_standin *s = w->data;
   (void)loop;
   (void)events;
-  s->lingered = true;
+  s->drained = true;
   check_exit (s);
 }
 
 static void
 on_term (struct ev_loop *loop, ev_signal *w, int events)
 {
-  struct standin *s = w->data;
+  struct runner_standin *s = w->data;
   (void)events;
   if (s->departing)
     return;
   s->departing = true;
   if (s->entry_count > 0)
     depart (s);
-  ev_timer_set (&s->linger_timer, s->entry_count > 0 ? LINGER_S : 0.0, 0.0);
-  ev_timer_start (loop, &s->linger_timer);
+  ev_timer_set (&s->drain_timer, s->entry_count > 0 ? DRAIN_S : 0.0, 0.0);
+  ev_timer_start (loop, &s->drain_timer);
 }
 
 static int
-open_listener (struct standin *s, const char *text)
+open_listener (struct runner_standin *s, const char *text)
 {
   struct sockaddr_in address;
   struct status st;
@@ -683,15 +683,15 @@
 }
 
 static void
-start_watchers (struct standin *s)
+start_watchers (struct runner_standin *s)
 {
   ev_io_init (&s->accept_watch, on_accept, s->listener, EV_READ);
   ev_timer_init (&s->announce_timer, on_announce_timer, 0.0, ANNOUNCE_S);
-  ev_timer_init (&s->linger_timer, on_linger, 0.0, 0.0);
+  ev_timer_init (&s->drain_timer, on_drained, 0.0, 0.0);
   ev_signal_init (&s->term_watch, on_term, SIGTERM);
   s->accept_watch.data = s;
   s->announce_timer.data = s;
-  s->linger_timer.data = s;
+  s->drain_timer.data = s;
   s->term_watch.data = s;
   ev_io_start (s->loop, &s->accept_watch);
   ev_timer_start (s->loop, &s->announce_timer);
@@ -699,25 +699,25 @@
 }
 
 static void
-free_keys (struct standin *s)
+free_executions (struct runner_standin *s)
 {
-  while (!SLIST_EMPTY (&s->keys))
+  while (!SLIST_EMPTY (&s->executions))
     {
-      struct executions *e = SLIST_FIRST (&s->keys);
-      SLIST_REMOVE_HEAD (&s->keys, link);
+      struct executions *e = SLIST_FIRST (&s->executions);
+      SLIST_REMOVE_HEAD (&s->executions, link);
       free (e->key);
       free (e);
     }
 }
 
 static int
-run (struct standin *s, const char *listen_address)
+run (struct runner_standin *s, const char *listen_address)
 {
   s->loop = ev_loop_new (EVFLAG_AUTO);
   s->client = http_client_open (s->loop, 4);
   rng_init (&s->rng, (uint64_t)s->incarnation);
   TAILQ_INIT (&s->queue);
-  SLIST_INIT (&s->keys);
+  SLIST_INIT (&s->executions);
   if (open_listener (s, listen_address) < 0)
     return 1;
   start_watchers (s);
@@ -727,14 +727,14 @@
   while (!LIST_EMPTY (&s->conns))
     close_conn (LIST_FIRST (&s->conns));
   http_client_close (s->client);
-  free_keys (s);
+  free_executions (s);
   close (s->listener);
   ev_loop_destroy (s->loop);
   return 0;
 }
 
 static void
-split_entries (struct standin *s, char *list)
+split_entries (struct runner_standin *s, char *list)
 {
   char *rest = NULL;
   for (char *e = strtok_r (list, ",", &rest); e && s->entry_count < MAX_ENTRIES;
@@ -749,16 +749,16 @@
   struct arg_str *service = arg_str0 (NULL, "service", "NAME", "service (default echo)");
   struct arg_str *centre = arg_str0 (NULL, "data-centre", "NAME", "data centre (default dc1)");
   struct arg_str *address = arg_str0 (NULL, "listen", "IP:PORT", "default 127.0.0.1:0");
-  struct arg_str *entries = arg_str0 (NULL, "entries", "LIST", "entry addresses, by commas");
-  struct arg_str *mode = arg_str0 (NULL, "mode", "MODE", "kind of answer (default normal)");
-  struct arg_int *slots = arg_int0 (NULL, "slots", "N", "requests at once (default 8)");
+  struct arg_str *entries = arg_str0 (NULL, "entries", "LIST", "ip:port,... of entry VMs");
+  struct arg_str *mode = arg_str0 (NULL, "mode", "MODE", "mode of answers (default normal)");
+  struct arg_int *slots = arg_int0 (NULL, "slots", "N", "parallel requests (default 8)");
   struct arg_int *connections = arg_int0 (NULL, "connections", "N", "default 64");
   struct arg_dbl *ms = arg_dbl0 (NULL, "service-ms", "MS", "service time (default 0)");
   struct arg_dbl *errors = arg_dbl0 (NULL, "error-rate", "P", "share of 500 answers (default 0)");
   struct arg_end *end = arg_end (8);
   void *table[]
       = { id, service, centre, address, entries, mode, slots, connections, ms, errors, end };
-  static struct standin s;
+  static struct runner_standin s;
   if (arg_parse (argc, argv, table) > 0)
     {
       arg_print_errors (stderr, end, "runner_standin");
--- a/standins/worker.c
+++ b/standins/worker.c
@@ -1,7 +1,7 @@
-/* worker: a small stand-in for a worker, for tests, examples and the demo.
+/* worker_standin: a small stand-in for a worker, for tests, examples and the demo.
 
-   It announces itself, polls for commands, runs tasks as timers and honours its lease: when no poll
-   sent within the last lease was answered, it stops every task.  Reports are repeated in every poll
+   It announces itself, polls for commands, runs tasks as timers and obeys its lease: when no poll
+   sent within the last lease was answered, it stops all tasks.  Reports are repeated in every poll
    until a forget command for that task and epoch arrives.  Every start and end of a task is
    written to the events file, one line "unix_ms event task epoch worker", so that a test can check
    that no task ran in two places.  */
@@ -32,7 +32,7 @@
 enum task_state
 {
   TASK_RUNNING,
-  TASK_ENDED, /* the end is reported until it may be forgotten */
+  TASK_ENDED, /* reported until a forget command arrives */
 };
 
 struct task
@@ -41,14 +41,14 @@
   json_int_t epoch;
   enum task_state state;
   char report[16];      /* "running", "done", "failed", "stopped", "refused" */
-  int64_t progress_ms;  /* work done when the task was (re)started */
+  int64_t progress_ms;  /* work done at the last start or change of speed */
   int64_t started_ms;   /* when this run began or its speed changed */
-  int64_t run_time_ms;  /* whole work of the task; negative runs until stopped */
+  int64_t run_time_ms;  /* total work of the task; a negative one runs until stopped */
   int throttle_percent; /* share of full speed */
   int millicores;
   int memory_mb;
-  int64_t checkpoint_ms; /* work that the last checkpoint keeps */
-  bool covered;          /* a standby copy exists: the shorter lease holds */
+  int64_t checkpoint_ms; /* work saved by the last checkpoint */
+  bool covered;          /* a standby copy exists: the shorter lease applies */
   LIST_ENTRY (task) link;
 };
 
@@ -61,14 +61,14 @@
   int millicores;
   int memory_mb;
   int accelerators;
-  double fail_share;  /* share of the tasks that fail at once */
-  double time_factor; /* true run time / declared run time */
+  double fail_share;  /* fraction of tasks that fail right after the start */
+  double time_factor; /* actual run time / declared run time */
   FILE *events;
   char *entries[MAX_ENTRIES];
   int entry_count;
   int entry;             /* index of the entry in use */
   char base[URL_BYTES];  /* "http://ip:port" of the VM that answers polls */
-  char query[URL_BYTES]; /* of the last redirect: names the cell */
+  char query[URL_BYTES]; /* query of the last redirect, identifies the cell */
   int64_t incarnation;
   int64_t sequence;
   bool announced;
@@ -76,7 +76,7 @@
   bool reporting; /* an immediate report is open */
   bool report_due;
   int64_t lease_until_ms;
-  int64_t covered_until_ms; /* same, for tasks with a standby copy */
+  int64_t covered_until_ms; /* for tasks with a standby copy */
   unsigned random_state;
   ev_timer tick;
   ev_timer retry;
@@ -154,9 +154,9 @@
     }
 }
 
-/* Ends the tasks whose standby copy may be started elsewhere soon.  */
+/* Ends the tasks whose standby copy may soon be started elsewhere.  */
 static void
-stop_covered (struct worker *w)
+stop_covered_tasks (struct worker *w)
 {
   struct task *t;
   LIST_FOREACH (t, &w->tasks, link)
@@ -306,7 +306,7 @@
   schedule_retry (w);
 }
 
-/* Keeps "http://ip:port" and the query of a redirect's target.  */
+/* Stores "http://ip:port" and the query of a redirect's target.  */
 static void
 follow_redirect (struct worker *w, const char *location)
 {
@@ -476,7 +476,7 @@
   if (now > w->lease_until_ms)
     drop_tasks (w, "lapse");
   else if (now > w->covered_until_ms)
-    stop_covered (w);
+    stop_covered_tasks (w);
   LIST_FOREACH (t, &w->tasks, link)
   if (t->state == TASK_RUNNING && t->run_time_ms >= 0 && task_progress (t) >= t->run_time_ms)
     end_task (w, t, "done");
@@ -540,8 +540,8 @@
   struct arg_int *millicores = arg_int0 (NULL, "millicores", "N", "processors (default 16000)");
   struct arg_int *memory = arg_int0 (NULL, "memory-mb", "N", "memory (default 60000)");
   struct arg_int *accelerators = arg_int0 (NULL, "accelerators", "N", "accelerators (default 0)");
-  struct arg_dbl *fail = arg_dbl0 (NULL, "fail-share", "X", "share of tasks that fail at once");
-  struct arg_dbl *factor = arg_dbl0 (NULL, "time-factor", "X", "true / declared run time");
+  struct arg_dbl *fail = arg_dbl0 (NULL, "fail-share", "X", "fraction of tasks that fail at start");
+  struct arg_dbl *factor = arg_dbl0 (NULL, "time-factor", "X", "actual / declared run time");
   struct arg_lit *verbose = arg_lit0 (NULL, "verbose", "log every poll that fails");
   struct arg_file *events = arg_file0 (NULL, "events", "FILE", "append task starts and ends here");
   struct arg_end *end = arg_end (8);
