--- a/tests/called_worker.c
+++ b/tests/called_worker.c
@@ -1,8 +1,8 @@
-/* called_worker: a worker of the users' platform for tests: it is called, and reports itself.
+/* called_worker: worker of the users' platform for tests: reports to core VMs and is called by them.
 
    Usage: called_worker ID IP:PORT POOL ZONE CONTROL...
-   CONTROL are ip:port of core VMs.  A task runs for as many milliseconds as its payload says.  Each
-   start and end is one line on standard output: "start TASK RUN" and "end TASK RUN".  */
+   CONTROL are ip:port of core VMs.  The payload of a task is its run time in milliseconds.  Each
+   start and end prints one line: "start TASK RUN" or "end TASK RUN".  */
 #include <signal.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,12 +17,12 @@
 #include "http_server.h"
 
 #define TICK_S 0.01
-#define REPORT_EVERY_MS 300
+#define REPORT_PERIOD_MS 300
 #define MAX_CONTROL 8
 #define NAME_BYTES 64
-#define ROOM_MILLICORES 16000
-#define ROOM_MB 64000
-#define CALL_MS 900
+#define CAPACITY_MILLICORES 16000
+#define CAPACITY_MEMORY_MB 64000
+#define REPORT_TIMEOUT_MS 900
 
 struct run
 {
@@ -38,12 +38,12 @@
   json_int_t number;
   char task[NAME_BYTES];
   json_int_t run;
-  const char *how;
+  const char *outcome;
 };
 
-struct waiting
+struct pending_hold
 {
-  LIST_ENTRY (waiting) link;
+  LIST_ENTRY (pending_hold) link;
   struct http_request *request;
   int64_t until_ms;
 };
@@ -56,11 +56,11 @@
   struct ev_loop *loop;
   struct http_client *client;
   struct http_server *server;
-  int64_t born_ms, lease_ms, next_report_ms;
-  json_int_t fence, ends, sequence;
+  int64_t born_ms, lease_until_ms, next_report_ms;
+  json_int_t fence, last_end_number, sequence;
   LIST_HEAD (run_list, run) runs;
   STAILQ_HEAD (ended_list, ended) ended;
-  LIST_HEAD (waiting_list, waiting) waiting;
+  LIST_HEAD (pending_hold_list, pending_hold) pending_holds;
 };
 
 static int64_t
@@ -70,13 +70,13 @@
 }
 
 static void
-end_run (struct worker *w, struct run *r, const char *how)
+end_run (struct worker *w, struct run *r, const char *outcome)
 {
   struct ended *e = xcalloc (1, sizeof *e);
-  e->number = ++w->ends;
+  e->number = ++w->last_end_number;
   memcpy (e->task, r->task, sizeof e->task);
   e->run = r->run;
-  e->how = how;
+  e->outcome = outcome;
   STAILQ_INSERT_TAIL (&w->ended, e, link);
   printf ("end %s %d\n", r->task, (int)r->run);
   fflush (stdout);
@@ -85,7 +85,7 @@
 }
 
 static json_t *
-lists (const struct worker *w)
+lists_body (const struct worker *w)
 {
   const struct run *r;
   const struct ended *e;
@@ -95,7 +95,7 @@
   json_array_append_new (running, json_pack ("[s, I, s, i, i]", r->task, r->run, "", 50, 1000));
   STAILQ_FOREACH (e, &w->ended, link)
   json_array_append_new (finished,
-                         json_pack ("[I, s, I, s, s]", e->number, e->task, e->run, e->how, ""));
+                         json_pack ("[I, s, I, s, s]", e->number, e->task, e->run, e->outcome, ""));
   return json_pack ("{s:I, s:I, s:o, s:o}", "clock_ms", (json_int_t)now_ms (), "born",
                     (json_int_t)w->born_ms, "running", running, "finished", finished);
 }
@@ -170,24 +170,24 @@
       STAILQ_REMOVE_HEAD (&w->ended, link);
       free (e);
     }
-  if (number (body, "deadline_ms") > w->lease_ms)
-    w->lease_ms = number (body, "deadline_ms");
-  struct waiting *h = xcalloc (1, sizeof *h);
+  if (number (body, "deadline_ms") > w->lease_until_ms)
+    w->lease_until_ms = number (body, "deadline_ms");
+  struct pending_hold *h = xcalloc (1, sizeof *h);
   h->request = req;
   h->until_ms = now_ms () + number (body, "wait_ms");
-  LIST_INSERT_HEAD (&w->waiting, h, link);
+  LIST_INSERT_HEAD (&w->pending_holds, h, link);
 }
 
 static void
 handle (void *arg, struct http_request *req)
 {
   struct worker *w = arg;
-  const char *life = http_header (req, "Expect-Instance");
+  const char *expected_instance = http_header (req, "Expect-Instance");
   struct status st;
   json_t *body = http_body_json (req, &st);
   if (!body)
     http_reply_status (req, &st);
-  else if (life && strcmp (life, w->id) != 0)
+  else if (expected_instance && strcmp (expected_instance, w->id) != 0)
     reply_clock (req, 421, "");
   else if (number (body, "fence") < w->fence)
     reply_clock (req, 409, "fence");
@@ -206,7 +206,7 @@
   json_decref (body);
 }
 
-/* The next core VM is asked after a report without an answer.  */
+/* After a failed report the next one goes to the next core VM.  */
 static void
 on_reported (void *arg, const struct http_answer *a)
 {
@@ -219,11 +219,11 @@
 report (struct worker *w)
 {
   char url[256];
-  json_t *body
-      = json_pack ("{s:s, s:s, s:s, s:s, s:{s:i, s:i}, s:[s, s], s:I, s:I, s:I}", "service",
-                   w->pool, "address", w->address, "zone", w->zone, "state", "ready", "capacity",
-                   "cpu", ROOM_MILLICORES, "mem_mb", ROOM_MB, "labels", "a", "r1-1", "clock_ms",
-                   (json_int_t)now_ms (), "seq", ++w->sequence, "born", (json_int_t)w->born_ms);
+  json_t *body = json_pack (
+      "{s:s, s:s, s:s, s:s, s:{s:i, s:i}, s:[s, s], s:I, s:I, s:I}", "service", w->pool, "address",
+      w->address, "zone", w->zone, "state", "ready", "capacity", "cpu", CAPACITY_MILLICORES,
+      "mem_mb", CAPACITY_MEMORY_MB, "labels", "a", "r1-1", "clock_ms", (json_int_t)now_ms (), "seq",
+      ++w->sequence, "born", (json_int_t)w->born_ms);
   char *text = json_dumps (body, JSON_COMPACT);
   snprintf (url, sizeof url, "http://%s/sassafrasstall/instances/%s",
             w->control[w->next_control % w->control_count], w->id);
@@ -231,7 +231,7 @@
                                   .url = url,
                                   .body = text,
                                   .body_len = strlen (text),
-                                  .timeout_ms = CALL_MS,
+                                  .timeout_ms = REPORT_TIMEOUT_MS,
                                   .done = on_reported,
                                   .done_arg = w };
   http_client_send (w->client, &call);
@@ -247,7 +247,7 @@
   for (r = LIST_FIRST (&w->runs); r; r = next)
     {
       next = LIST_NEXT (r, link);
-      if (w->lease_ms > 0 && now_ms () > w->lease_ms)
+      if (w->lease_until_ms > 0 && now_ms () > w->lease_until_ms)
         end_run (w, r, "lapsed");
       else if (now_ms () >= r->end_ms)
         end_run (w, r, "done");
@@ -257,14 +257,14 @@
 static void
 answer_holds (struct worker *w)
 {
-  struct waiting *h;
-  struct waiting *next;
-  for (h = LIST_FIRST (&w->waiting); h; h = next)
+  struct pending_hold *h;
+  struct pending_hold *next;
+  for (h = LIST_FIRST (&w->pending_holds); h; h = next)
     {
       next = LIST_NEXT (h, link);
       if (now_ms () < h->until_ms && STAILQ_EMPTY (&w->ended))
         continue;
-      http_reply_json (h->request, 200, lists (w));
+      http_reply_json (h->request, 200, lists_body (w));
       LIST_REMOVE (h, link);
       free (h);
     }
@@ -280,7 +280,7 @@
   answer_holds (w);
   if (now_ms () < w->next_report_ms)
     return;
-  w->next_report_ms = now_ms () + REPORT_EVERY_MS;
+  w->next_report_ms = now_ms () + REPORT_PERIOD_MS;
   report (w);
 }
 
--- a/tests/test_platform_decode.c
+++ b/tests/test_platform_decode.c
@@ -1,5 +1,5 @@
-/* Guards against bodies of other writers that crash the adapter, are read in part or change
- * something.  */
+/* Guards against malformed bodies of other programs: they must not crash the decoder, be decoded in
+   part or have an effect.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -37,7 +37,7 @@
       "\"finished\":[[58,\"5c0e7a21d94b36f8.0.1.9\",1,\"done\",\"\"]]}";
 
 static void
-test_the_fields_reach_their_places (void **state)
+test_valid_bodies_are_decoded_in_full (void **state)
 {
   workflow_configuration c;
   workflow_spec s;
@@ -68,7 +68,7 @@
 }
 
 static void
-refuse_configuration (const char *text)
+assert_configuration_refused (const char *text)
 {
   workflow_configuration c;
   struct status st;
@@ -80,15 +80,16 @@
 test_invalid_configurations_are_refused (void **state)
 {
   (void)state;
-  refuse_configuration ("{\"version\":7,\"routes\":[");
-  refuse_configuration ("{\"version\":7,\"services\":[]}");
-  refuse_configuration ("{\"version\":\"7\",\"routes\":[],\"services\":[]}");
-  refuse_configuration ("{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":"
-                        "\"/\",\"timeout_ms\":1,\"service\":\"none\"}],\"services\":[]}");
-  refuse_configuration (
+  assert_configuration_refused ("{\"version\":7,\"routes\":[");
+  assert_configuration_refused ("{\"version\":7,\"services\":[]}");
+  assert_configuration_refused ("{\"version\":\"7\",\"routes\":[],\"services\":[]}");
+  assert_configuration_refused (
+      "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":"
+      "\"/\",\"timeout_ms\":1,\"service\":\"none\"}],\"services\":[]}");
+  assert_configuration_refused (
       "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":"
       "\"/\",\"timeout_ms\":0,\"service\":\"s\"}],\"services\":[{\"name\":\"s\"}]}");
-  refuse_configuration (
+  assert_configuration_refused (
       "{\"version\":7,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"path_prefix\":\"/"
       "\",\"timeout_ms\":"
       "1,\"service\":\"s\"},{\"name\":\"q\",\"host\":\"h\",\"path_prefix\":\"/\",\"timeout_ms\":1,"
@@ -96,7 +97,7 @@
 }
 
 static void
-test_other_writers_name_no_worker (void **state)
+test_invalid_reports_are_refused (void **state)
 {
   static const char *const texts[]
       = { "",
@@ -117,7 +118,7 @@
 }
 
 static void
-test_job_ids (void **state)
+test_job_ids_are_parsed (void **state)
 {
   uint64_t id;
   (void)state;
@@ -128,7 +129,7 @@
   assert_int_equal (platform_read_job_id ("", &id), -1);
 }
 
-/* Changes, drops or repeats some bytes of TEXT.  */
+/* Copy of TEXT with one to four random bytes changed or dropped.  */
 static char *
 mutate (struct rng *rng, const char *text, size_t *len)
 {
@@ -155,7 +156,7 @@
 }
 
 static void
-read_all (const char *text, size_t len)
+decode_all (const char *text, size_t len)
 {
   workflow_configuration c;
   workflow_spec s;
@@ -176,7 +177,7 @@
 }
 
 static void
-test_random_input_does_no_harm (void **state)
+test_mutated_bodies_do_not_crash_the_decoder (void **state)
 {
   static const char *const texts[] = { configuration, job, report, lists };
   struct rng rng;
@@ -186,7 +187,7 @@
     {
       size_t len;
       char *text = mutate (&rng, texts[i % 4], &len);
-      read_all (text, len);
+      decode_all (text, len);
       free (text);
     }
 }
@@ -195,9 +196,10 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_the_fields_reach_their_places),
+      = { cmocka_unit_test (test_valid_bodies_are_decoded_in_full),
           cmocka_unit_test (test_invalid_configurations_are_refused),
-          cmocka_unit_test (test_other_writers_name_no_worker), cmocka_unit_test (test_job_ids),
-          cmocka_unit_test (test_random_input_does_no_harm) };
+          cmocka_unit_test (test_invalid_reports_are_refused),
+          cmocka_unit_test (test_job_ids_are_parsed),
+          cmocka_unit_test (test_mutated_bodies_do_not_crash_the_decoder) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/test_worker_calls.c
+++ b/tests/test_worker_calls.c
@@ -1,6 +1,6 @@
-/* Calls of workers over HTTP.  Guards against calls that are lost in memory when a process ends
-   while they are open (soak, seeds 317 and 345; found by the leak check of the sanitized run), and
-   against an outcome without the caller's tag.  */
+/* Calls of workers over HTTP.  Guards against leaks of calls that are pending when a process ends
+   (soak, seeds 317 and 345; found by the leak check of the sanitized run), and against an outcome
+   without the caller's tag.  */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -79,7 +79,7 @@
 }
 
 static void
-test_an_outcome_names_its_order (void **state)
+test_outcome_identifies_its_order (void **state)
 {
   struct fixture f;
   int tag;
@@ -98,7 +98,7 @@
 }
 
 static void
-test_open_calls_are_freed_at_the_end (void **state)
+test_pending_calls_are_freed_on_close (void **state)
 {
   struct fixture f;
   (void)state;
@@ -113,8 +113,8 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = { cmocka_unit_test (test_an_outcome_names_its_order),
-                                      cmocka_unit_test (test_open_calls_are_freed_at_the_end) };
+  const struct CMUnitTest tests[] = { cmocka_unit_test (test_outcome_identifies_its_order),
+                                      cmocka_unit_test (test_pending_calls_are_freed_on_close) };
   curl_global_init (CURL_GLOBAL_DEFAULT);
   int failed = cmocka_run_group_tests (tests, NULL, NULL);
   curl_global_cleanup ();
