--- a/tests/called_worker.c
+++ b/tests/called_worker.c
@@ -1,4 +1,4 @@
-/* called_worker: worker of the users' platform for tests: reports to core VMs and is called by them.
+/* called_worker: worker of the users' platform for tests; reports to core VMs, which call it.
 
    Usage: called_worker ID IP:PORT POOL ZONE CONTROL...
    CONTROL are ip:port of core VMs.  The payload of a task is its run time in milliseconds.  Each
