--- a/ctl/client.c
+++ b/ctl/client.c
@@ -8,15 +8,15 @@
 #define URL_BYTES 512
 #define MAX_REDIRECTS 4
 
-/* One exchange; the loop runs until DONE.  */
+/* One request and its answer; the event loop runs until all exchanges have ended.  */
 struct exchange
 {
   struct ctl *ctl;
   struct ctl_reply *reply;
   char location[URL_BYTES];
   int code;
-  bool answered; /* a complete answer came */
-  size_t *left;  /* exchanges that are still running */
+  bool answered;   /* a complete answer was received */
+  size_t *running; /* exchanges in progress, shared */
 };
 
 void
@@ -58,7 +58,7 @@
     }
   if (answer->location && strlen (answer->location) < sizeof x->location)
     memcpy (x->location, answer->location, strlen (answer->location) + 1);
-  if (--*x->left == 0)
+  if (--*x->running == 0)
     ev_break (x->ctl->loop, EVBREAK_ONE);
 }
 
@@ -93,7 +93,7 @@
   return time_left (c) > 0;
 }
 
-/* One request to one server, with its redirects; true when a complete answer came.  */
+/* Sends a request to one server and follows redirects; true on a complete answer.  */
 static bool
 try_server (struct ctl *c, const char *server, const char *method, const char *path,
             const char *body, struct ctl_reply *reply)
@@ -103,9 +103,9 @@
   for (int i = 0; i < MAX_REDIRECTS; i++)
     {
       bool maybe_sent = reply->maybe_sent;
-      size_t left = 1;
-      struct exchange x = { .ctl = c, .reply = reply, .left = &left };
-      long limit = time_left (c) < CTL_TRY_MS ? time_left (c) : CTL_TRY_MS;
+      size_t running = 1;
+      struct exchange x = { .ctl = c, .reply = reply, .running = &running };
+      long limit = time_left (c) < CTL_ATTEMPT_TIMEOUT_MS ? time_left (c) : CTL_ATTEMPT_TIMEOUT_MS;
       ctl_reply_close (reply);
       reply->maybe_sent = maybe_sent;
       start (&x, method, url, body, limit > 0 ? limit : 1);
@@ -118,9 +118,9 @@
   return true;
 }
 
-/* An answer that another server, or the same one later, may turn into a better one.  */
+/* True for errors that may not recur on another server, or later on the same one.  */
 static bool
-worth_repeating (enum status_kind kind)
+is_retryable (enum status_kind kind)
 {
   return kind == STATUS_NOT_LEADER || kind == STATUS_NO_QUORUM || kind == STATUS_OUTCOME_UNKNOWN
          || kind == STATUS_IN_PROGRESS || kind == STATUS_OVERLOADED || kind == STATUS_SHUTTING_DOWN
@@ -128,13 +128,13 @@
 }
 
 static void
-give_up (const struct ctl *c, bool changes, struct ctl_reply *reply)
+set_final_error (const struct ctl *c, bool changes, struct ctl_reply *reply)
 {
   char last[128];
   snprintf (last, sizeof last, "%.120s", reply->status.message);
   if (changes && reply->maybe_sent)
     status_set (&reply->status, STATUS_OUTCOME_UNKNOWN,
-                "no answer in %ld ms (%s); repeat with --request-id %s", c->timeout_ms, last,
+                "no answer in %ld ms (%s); retry with --request-id %s", c->timeout_ms, last,
                 c->request_id);
   else if (changes)
     status_set (&reply->status, STATUS_NO_QUORUM, "not accepted in %ld ms: %s", c->timeout_ms,
@@ -154,16 +154,16 @@
     {
       const char *server = c->servers[c->next_server];
       bool answered = try_server (c, server, method, path, text, reply);
-      if (answered && !worth_repeating (reply->status.kind))
+      if (answered && !is_retryable (reply->status.kind))
         break;
       if (answered && reply->status.kind == STATUS_OUTCOME_UNKNOWN)
         reply->maybe_sent = true;
       c->next_server = (c->next_server + 1) % c->server_count;
       if (++tried % c->server_count == 0 && ctl_time_left (c))
-        ctl_sleep (c, CTL_POLL_MS);
+        ctl_sleep (c, CTL_POLL_INTERVAL_MS);
       if (!ctl_time_left (c))
         {
-          give_up (c, strcmp (method, "GET") != 0, reply);
+          set_final_error (c, strcmp (method, "GET") != 0, reply);
           break;
         }
     }
@@ -172,15 +172,15 @@
 }
 
 void
-ctl_gather (struct ctl *c, struct ctl_probe *probes, size_t count, long timeout_ms)
+ctl_get_all (struct ctl *c, struct ctl_probe *probes, size_t count, long timeout_ms)
 {
-  size_t left = count;
+  size_t running = count;
   struct exchange *list = xcalloc (count, sizeof *list);
   for (size_t i = 0; i < count; i++)
     {
       list[i].ctl = c;
       list[i].reply = &probes[i].reply;
-      list[i].left = &left;
+      list[i].running = &running;
       start (&list[i], "GET", probes[i].url, NULL, timeout_ms);
     }
   if (count > 0)
--- a/ctl/jobs.c
+++ b/ctl/jobs.c
@@ -1,4 +1,4 @@
-/* jobs: submit, list, show and cancel.  */
+/* Command jobs: submit, list, show and cancel.  */
 #include "ctl.h"
 
 #include <errno.h>
@@ -20,7 +20,7 @@
   "safe_to_repeat", "max_per_rack", "payload",     "data_centre", NULL
 };
 
-/* Faults that every server would report; customer and plan are judged by the server.  */
+/* Finds faults that any server would report; the server checks the customer and its plan.  */
 static void
 check_job (struct json_check *check, const json_t *job)
 {
@@ -64,12 +64,12 @@
     }
   else
     {
-      const json_t *own = json_object_get (job, "request_id");
-      if (own)
-        snprintf (c->request_id, sizeof c->request_id, "%s", json_string_value (own));
+      const json_t *given = json_object_get (job, "request_id");
+      if (given)
+        snprintf (c->request_id, sizeof c->request_id, "%s", json_string_value (given));
       else
         json_object_set_new (job, "request_id", json_string (c->request_id));
-      code = ctl_finish (c, "POST", "/v1/jobs", job, NULL);
+      code = ctl_call_and_print (c, "POST", "/v1/jobs", job, NULL);
     }
   json_decref (job);
   json_faults_close (&faults);
@@ -82,9 +82,9 @@
 {
   char path[PATH_BYTES];
   if (!json_name_valid (id))
-    return ctl_usage (c, "'%s' is no job id", id);
+    return ctl_usage_error (c, "'%s' is not a job id", id);
   snprintf (path, sizeof path, "/v1/jobs/%s", id);
-  return ctl_finish (c, "GET", path, NULL, NULL);
+  return ctl_call_and_print (c, "GET", path, NULL, NULL);
 }
 
 static void
@@ -112,7 +112,7 @@
     used += (size_t)snprintf (path + used, sizeof path - used, "&customer=%s", c->customer);
   if (c->data_centre)
     snprintf (path + used, sizeof path - used, "&data_centre=%s", c->data_centre);
-  return ctl_finish (c, "GET", path, NULL, print_jobs);
+  return ctl_call_and_print (c, "GET", path, NULL, print_jobs);
 }
 
 static int
@@ -120,18 +120,18 @@
 {
   json_t *ids = json_array ();
   int code = 0;
-  for (int i = 2; i < c->word_count && code == 0; i++)
+  for (int i = 2; i < c->arg_count && code == 0; i++)
     {
       char *end;
       errno = 0;
-      long long id = strtoll (c->words[i], &end, 10);
-      if (*end || end == c->words[i] || id < 1 || errno != 0)
-        code = ctl_usage (c, "'%s' is no job id", c->words[i]);
+      long long id = strtoll (c->args[i], &end, 10);
+      if (*end || end == c->args[i] || id < 1 || errno != 0)
+        code = ctl_usage_error (c, "'%s' is not a job id", c->args[i]);
       json_array_append_new (ids, json_integer (id));
     }
   json_t *body = json_pack ("{s:o}", "jobs", ids);
   if (code == 0)
-    code = ctl_finish (c, "POST", "/v1/jobs/cancel", body, NULL);
+    code = ctl_call_and_print (c, "POST", "/v1/jobs/cancel", body, NULL);
   json_decref (body);
   return code;
 }
@@ -139,14 +139,15 @@
 int
 command_jobs (struct ctl *c)
 {
-  const char *verb = c->word_count > 1 ? c->words[1] : "list";
-  if (strcmp (verb, "list") == 0 && c->word_count <= 2)
+  const char *verb = c->arg_count > 1 ? c->args[1] : "list";
+  if (strcmp (verb, "list") == 0 && c->arg_count <= 2)
     return list_jobs (c);
-  if (strcmp (verb, "submit") == 0 && c->word_count == 3)
-    return submit (c, c->words[2]);
-  if (strcmp (verb, "show") == 0 && c->word_count == 3)
-    return show_job (c, c->words[2]);
-  if (strcmp (verb, "cancel") == 0 && c->word_count >= 3)
+  if (strcmp (verb, "submit") == 0 && c->arg_count == 3)
+    return submit (c, c->args[2]);
+  if (strcmp (verb, "show") == 0 && c->arg_count == 3)
+    return show_job (c, c->args[2]);
+  if (strcmp (verb, "cancel") == 0 && c->arg_count >= 3)
     return cancel_jobs (c);
-  return ctl_usage (c, "usage: sassafrasctl jobs [list | submit FILE | show ID | cancel ID...]");
+  return ctl_usage_error (c,
+                          "usage: sassafrasctl jobs [list | submit FILE | show ID | cancel ID...]");
 }
--- a/ctl/lists.c
+++ b/ctl/lists.c
@@ -1,4 +1,4 @@
-/* check, diff and apply: the two lists.  */
+/* Commands check, diff and apply, for the lists of plans and customers.  */
 #include "ctl.h"
 
 #include <inttypes.h>
@@ -8,7 +8,7 @@
 
 #include "settings.h"
 
-/* Both files, read and checked.  */
+/* The plans file and the customers file.  */
 struct lists
 {
   struct buffer plans_text;
@@ -51,13 +51,13 @@
 {
   struct status st;
   memset (l, 0, sizeof *l);
-  if (c->word_count != 3)
-    return ctl_usage (c, "usage: sassafrasctl %s PLANS-FILE CUSTOMERS-FILE", c->words[0]);
-  if (settings_read_file (c->words[1], PLANS_LIST_BYTES, &l->plans_text, &st) < 0
-      || settings_read_file (c->words[2], PLANS_LIST_BYTES, &l->customers_text, &st) < 0)
+  if (c->arg_count != 3)
+    return ctl_usage_error (c, "usage: sassafrasctl %s PLANS-FILE CUSTOMERS-FILE", c->args[0]);
+  if (settings_read_file (c->args[1], PLANS_LIST_BYTES, &l->plans_text, &st) < 0
+      || settings_read_file (c->args[2], PLANS_LIST_BYTES, &l->customers_text, &st) < 0)
     return ctl_fail (c, &st, NULL);
-  struct json_source plans = source_of (c->words[1], &l->plans_text);
-  struct json_source customers = source_of (c->words[2], &l->customers_text);
+  struct json_source plans = source_of (c->args[1], &l->plans_text);
+  struct json_source customers = source_of (c->args[2], &l->customers_text);
   l->plans = plans_parse (&plans, &customers, &l->faults);
   return l->plans ? 0 : report_faults (c, l);
 }
@@ -118,7 +118,7 @@
     puts ("no difference");
 }
 
-/* The accepted lists as a struct plans; an empty one before the first edit.  */
+/* Parses the accepted lists; empty when no version has been accepted yet.  */
 static struct plans *
 parse_accepted (const json_t *body)
 {
@@ -151,7 +151,7 @@
       json_t *out = json_pack ("{s:I, s:O}", "version", (json_int_t)ctl_int (reply.body, "version"),
                                "changes", changes);
       if (!accepted)
-        code = ctl_usage (c, "this program cannot read the accepted lists; is it too old?");
+        code = ctl_usage_error (c, "cannot parse the accepted lists; sassafrasctl may be too old");
       else if (c->json)
         ctl_print_json (out);
       else
@@ -168,14 +168,14 @@
   return code;
 }
 
-/* Counts the VMs that have VERSION in force and names some that have not.  */
+/* Counts the VMs on which VERSION is in force; LAGGING names some of the others.  */
 static size_t
 count_in_force (struct ctl *c, int64_t version, size_t *total, char *lagging, size_t size)
 {
   struct ctl_probe *probes = xcalloc (CTL_MAX_VMS, sizeof *probes);
   json_t *members = NULL;
-  size_t good = 0;
-  *total = ctl_ask_all (c, probes, &members);
+  size_t in_force = 0;
+  *total = ctl_query_members (c, probes, &members);
   lagging[0] = '\0';
   for (size_t i = 0; i < *total; i++)
     {
@@ -183,39 +183,39 @@
       const char *vm = ctl_text (json_array_get (members, i), "vm");
       size_t used = strlen (lagging);
       if (ctl_int (lists, "version_in_force") >= version)
-        good++;
+        in_force++;
       else if (used + strlen (vm) + 2 < size)
         snprintf (lagging + used, size - used, " %s", vm);
       ctl_reply_close (&probes[i].reply);
     }
   json_decref (members);
   free (probes);
-  return good;
+  return in_force;
 }
 
 /* Waits until every member VM has VERSION in force.  */
 static bool
-wait_in_force (struct ctl *c, int64_t version, size_t *good, size_t *total, struct status *st)
+wait_in_force (struct ctl *c, int64_t version, size_t *in_force, size_t *total, struct status *st)
 {
   char lagging[128];
   size_t last = SIZE_MAX;
   do
     {
-      *good = count_in_force (c, version, total, lagging, sizeof lagging);
-      if (*good != last)
-        ctl_progress (c, "version %" PRId64 " in force on %zu of %zu VMs%s%s", version, *good,
+      *in_force = count_in_force (c, version, total, lagging, sizeof lagging);
+      if (*in_force != last)
+        ctl_progress (c, "version %" PRId64 " in force on %zu of %zu VMs%s%s", version, *in_force,
                       *total, lagging[0] ? ", not yet on" : "", lagging);
-      last = *good;
-      if (*good == *total && *total > 0)
+      last = *in_force;
+      if (*in_force == *total && *total > 0)
         return true;
       if (ctl_time_left (c))
-        ctl_sleep (c, CTL_POLL_MS);
+        ctl_sleep (c, CTL_POLL_INTERVAL_MS);
     }
   while (ctl_time_left (c));
   status_set (st, STATUS_TIMEOUT,
               "version %" PRId64
               " is accepted, but after %ld ms in force on %zu of %zu VMs; not on%s",
-              version, c->timeout_ms, *good, *total, lagging);
+              version, c->timeout_ms, *in_force, *total, lagging);
   return false;
 }
 
@@ -224,17 +224,17 @@
 {
   char when[CTL_TIME_BYTES];
   struct status st;
-  size_t good = 0;
+  size_t in_force = 0;
   size_t total = 0;
   int64_t version = ctl_int (reply->body, "version");
   ctl_progress (c, "accepted as version %" PRId64 " at %s", version,
-                ctl_time (ctl_int (reply->body, "accepted_at_ms"), when));
-  if (c->wait && !wait_in_force (c, version, &good, &total, &st))
+                ctl_format_time (ctl_int (reply->body, "accepted_at_ms"), when));
+  if (c->wait && !wait_in_force (c, version, &in_force, &total, &st))
     return ctl_fail (c, &st, reply);
   if (c->json)
     {
       if (c->wait)
-        json_object_set_new (reply->body, "in_force_on", json_integer ((json_int_t)good));
+        json_object_set_new (reply->body, "in_force_on", json_integer ((json_int_t)in_force));
       ctl_print_json (reply->body);
     }
   else
@@ -250,8 +250,8 @@
   struct ctl_reply reply = { 0 };
   int code = open_lists (c, &l);
   if (code == 0 && c->version < 0)
-    code = ctl_usage (c, "apply needs --if-version N, the version this edit was made from; "
-                         "'sassafrasctl diff' prints the current one");
+    code = ctl_usage_error (c, "apply needs --if-version N, the version this edit was made from; "
+                               "'sassafrasctl diff' prints the current one");
   if (code == 0)
     {
       json_t *body = json_pack ("{s:s, s:I, s:s, s:s}", "request_id", c->request_id, "version",
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -11,7 +11,7 @@
 #include "http_server.h"
 #include "settings.h"
 
-#define MAX_WORDS 1002 /* jobs cancel takes up to 1,000 ids */
+#define MAX_ARGS 1002 /* jobs cancel takes up to 1,000 ids */
 #define MAX_TIMEOUT_MS 3600000
 #define REQUEST_ID_BYTES 16
 #define MAX_FLAG_ERRORS 20
@@ -24,7 +24,7 @@
   const char *name;
   const char *help;
   int (*run) (struct ctl *c);
-  bool local; /* needs no server */
+  bool local; /* runs without a server */
 };
 
 static const struct command commands[] = {
@@ -58,7 +58,7 @@
   struct arg_str *customer;
   struct arg_str *data_centre;
   struct arg_str *limit;
-  struct arg_str *words;
+  struct arg_str *args;
   struct arg_end *end;
 };
 
@@ -74,12 +74,12 @@
                         "operators' address of one or several VMs (default: " DEFAULT_SERVER ")");
   f->token_file = arg_str0 (NULL, "token-file", "<file>", "operators' token");
   f->timeout = arg_str0 (NULL, "timeout", "<ms>", "for the whole command (default: 15000)");
-  f->request_id = arg_str0 (NULL, "request-id", "<id>", "repeat an earlier command");
+  f->request_id = arg_str0 (NULL, "request-id", "<id>", "retry an earlier command");
   f->if_version = arg_str0 (NULL, "if-version", "<number>", "change only this version");
   f->customer = arg_str0 (NULL, "customer", "<id>", "jobs list: of this customer");
   f->data_centre = arg_str0 (NULL, "data-centre", "<name>", "jobs list: of this cell");
   f->limit = arg_str0 (NULL, "limit", "<number>", "jobs list: at most (default: 100)");
-  f->words = arg_strn (NULL, NULL, "<command>", 0, MAX_WORDS, "command and its arguments");
+  f->args = arg_strn (NULL, NULL, "<command>", 0, MAX_ARGS, "command and its arguments");
   f->end = arg_end (MAX_FLAG_ERRORS);
 }
 
@@ -120,13 +120,13 @@
     {
       size_t len = strcspn (list, ",");
       if (c->server_count >= CTL_MAX_SERVERS || len >= CTL_ADDRESS_BYTES)
-        return ctl_usage (c, "--server: at most %d addresses of up to %d bytes", CTL_MAX_SERVERS,
-                          CTL_ADDRESS_BYTES - 1);
+        return ctl_usage_error (c, "--server: at most %d addresses of up to %d bytes",
+                                CTL_MAX_SERVERS, CTL_ADDRESS_BYTES - 1);
       char *slot = c->servers[c->server_count];
       memcpy (slot, list, len);
       slot[len] = '\0';
       if (http_parse_address (slot, &address, &st) < 0)
-        return ctl_usage (c, "--server: %s", st.message);
+        return ctl_usage_error (c, "--server: %s", st.message);
       c->server_count++;
       list += len + (list[len] == ',' ? 1 : 0);
     }
@@ -170,12 +170,12 @@
   if (f->request_id->count > 0)
     {
       if (!json_name_valid (f->request_id->sval[0]))
-        return ctl_usage (c, "--request-id: 1 to 63 letters, digits, '.', '_' or '-'");
+        return ctl_usage_error (c, "--request-id: 1 to 63 letters, digits, '.', '_' or '-'");
       snprintf (c->request_id, sizeof c->request_id, "%s", f->request_id->sval[0]);
       return 0;
     }
   if (getrandom (bytes, sizeof bytes, 0) != (ssize_t)sizeof bytes)
-    return ctl_usage (c, "no random bytes for a request id; use --request-id");
+    return ctl_usage_error (c, "cannot generate a request id; use --request-id");
   for (size_t i = 0; i < sizeof bytes; i++)
     snprintf (c->request_id + 2 * i, 3, "%02x", bytes[i]);
   return 0;
@@ -187,14 +187,14 @@
   const char *timeout = flag_or_env (f->timeout, "SASSAFRAS_TIMEOUT");
   int64_t number = CTL_TIMEOUT_MS;
   if (timeout && timeout[0] && read_number (timeout, 1, MAX_TIMEOUT_MS, &number) < 0)
-    return ctl_usage (c, "--timeout: '%s' is out of range, allowed: 1 to %d ms", timeout,
-                      MAX_TIMEOUT_MS);
+    return ctl_usage_error (c, "--timeout: '%s' is out of range, allowed: 1 to %d ms", timeout,
+                            MAX_TIMEOUT_MS);
   c->timeout_ms = (long)number;
   c->version = -1;
   if (f->if_version->count > 0
       && read_number (f->if_version->sval[0], 0, INT64_MAX, &c->version) < 0)
-    return ctl_usage (c, "--if-version: '%s' is out of range, allowed: 0 and up",
-                      f->if_version->sval[0]);
+    return ctl_usage_error (c, "--if-version: '%s' is out of range, allowed: 0 and up",
+                            f->if_version->sval[0]);
   return 0;
 }
 
@@ -204,13 +204,13 @@
   c->customer = f->customer->count > 0 ? f->customer->sval[0] : NULL;
   c->data_centre = f->data_centre->count > 0 ? f->data_centre->sval[0] : NULL;
   if (c->customer && !json_name_valid (c->customer))
-    return ctl_usage (c, "--customer: '%s' is no name", c->customer);
+    return ctl_usage_error (c, "--customer: '%s' is not a valid name", c->customer);
   if (c->data_centre && !json_name_valid (c->data_centre))
-    return ctl_usage (c, "--data-centre: '%s' is no name", c->data_centre);
+    return ctl_usage_error (c, "--data-centre: '%s' is not a valid name", c->data_centre);
   c->limit = DEFAULT_LIMIT;
   if (f->limit->count > 0 && read_number (f->limit->sval[0], 1, MAX_LIMIT, &c->limit) < 0)
-    return ctl_usage (c, "--limit: '%s' is out of range, allowed: 1 to %d", f->limit->sval[0],
-                      MAX_LIMIT);
+    return ctl_usage_error (c, "--limit: '%s' is out of range, allowed: 1 to %d", f->limit->sval[0],
+                            MAX_LIMIT);
   return 0;
 }
 
@@ -223,8 +223,8 @@
   c->json = f->json->count > 0;
   c->wait = f->no_wait->count == 0;
   c->off = f->off->count > 0;
-  c->words = (char **)f->words->sval;
-  c->word_count = f->words->count;
+  c->args = (char **)f->args->sval;
+  c->arg_count = f->args->count;
   if (code == 0)
     code = read_servers (c, f);
   if (code == 0)
@@ -237,7 +237,7 @@
 {
   for (size_t i = 0; i < sizeof commands / sizeof *commands; i++)
     {
-      if (strcmp (commands[i].name, c->words[0]) != 0)
+      if (strcmp (commands[i].name, c->args[0]) != 0)
         continue;
       c->loop = ev_default_loop (0);
       c->client = http_client_open (c->loop, 0);
@@ -247,7 +247,7 @@
       ev_loop_destroy (c->loop);
       return code;
     }
-  return ctl_usage (c, "unknown command '%s'; see --help", c->words[0]);
+  return ctl_usage_error (c, "unknown command '%s'; see --help", c->args[0]);
 }
 
 static int
@@ -268,8 +268,8 @@
       arg_print_errors (stderr, f->end, "sassafrasctl");
       return status_answer (STATUS_BAD_REQUEST)->exit_code;
     }
-  if (f->words->count == 0)
-    return ctl_usage (c, "no command; see --help");
+  if (f->args->count == 0)
+    return ctl_usage_error (c, "no command given; see --help");
   int code = read_flags (c, f);
   return code == 0 ? run_command (c) : code;
 }
--- a/ctl/output.c
+++ b/ctl/output.c
@@ -50,7 +50,7 @@
 }
 
 int
-ctl_usage (struct ctl *c, const char *format, ...)
+ctl_usage_error (struct ctl *c, const char *format, ...)
 {
   struct status st;
   char message[STATUS_MESSAGE_BYTES];
@@ -63,8 +63,8 @@
 }
 
 int
-ctl_finish (struct ctl *c, const char *method, const char *path, const json_t *body,
-            void (*print) (const json_t *body))
+ctl_call_and_print (struct ctl *c, const char *method, const char *path, const json_t *body,
+                    void (*print) (const json_t *body))
 {
   struct ctl_reply reply;
   int code = 0;
@@ -91,7 +91,7 @@
 }
 
 const char *
-ctl_time (int64_t unix_ms, char out[CTL_TIME_BYTES])
+ctl_format_time (int64_t unix_ms, char out[CTL_TIME_BYTES])
 {
   time_t seconds = (time_t)(unix_ms / MS_PER_S);
   struct tm tm;
--- a/ctl/show.c
+++ b/ctl/show.c
@@ -1,4 +1,4 @@
-/* show, state and counters: what is in force where.  */
+/* Commands show, state and counters: what is in force on which VM.  */
 #include "ctl.h"
 
 #include <inttypes.h>
@@ -6,10 +6,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PROBE_MS 2000
+#define PROBE_TIMEOUT_MS 2000
 
 size_t
-ctl_ask_all (struct ctl *c, struct ctl_probe *probes, json_t **members)
+ctl_query_members (struct ctl *c, struct ctl_probe *probes, json_t **members)
 {
   struct ctl_reply reply;
   size_t count = 0;
@@ -26,11 +26,11 @@
     snprintf (probes[i].url, sizeof probes[i].url, "http://%s/v1/state",
               ctl_text (json_array_get (*members, i), "operators"));
   ctl_reply_close (&reply);
-  ctl_gather (c, probes, count, PROBE_MS);
+  ctl_get_all (c, probes, count, PROBE_TIMEOUT_MS);
   return count;
 }
 
-/* One VM: what it has in force, since when, and how far it is behind the newest VM.  */
+/* The lists version in force on one VM, since when, and its lag behind the NEWEST version.  */
 static json_t *
 vm_row (const json_t *member, const struct ctl_probe *probe, int64_t newest)
 {
@@ -82,7 +82,7 @@
           continue;
         }
       printf ("%8" PRId64 " %-25s", ctl_int (row, "lists_version"),
-              ctl_time (ctl_int (row, "since_ms"), when));
+              ctl_format_time (ctl_int (row, "since_ms"), when));
       if (behind > 0)
         printf (" lags by %" PRId64, behind);
       print_out_centres (row);
@@ -96,7 +96,7 @@
   struct ctl_probe *probes = xcalloc (CTL_MAX_VMS, sizeof *probes);
   json_t *members;
   json_t *rows = json_array ();
-  size_t count = ctl_ask_all (c, probes, &members);
+  size_t count = ctl_query_members (c, probes, &members);
   int64_t newest = 0;
   struct status st;
   for (size_t i = 0; i < count; i++)
@@ -142,18 +142,18 @@
 int
 command_show (struct ctl *c)
 {
-  const char *what = c->word_count > 1 ? c->words[1] : "vms";
+  const char *what = c->arg_count > 1 ? c->args[1] : "vms";
   if (strcmp (what, "vms") == 0)
     return show_vms (c);
   if (strcmp (what, "plans") == 0 || strcmp (what, "customers") == 0)
     return show_list (c, what);
-  return ctl_usage (c, "usage: sassafrasctl show [vms|plans|customers]");
+  return ctl_usage_error (c, "usage: sassafrasctl show [vms|plans|customers]");
 }
 
 int
 command_state (struct ctl *c)
 {
-  return ctl_finish (c, "GET", "/v1/state", NULL, NULL);
+  return ctl_call_and_print (c, "GET", "/v1/state", NULL, NULL);
 }
 
 int
--- a/ctl/places.c
+++ b/ctl/topology.c
@@ -1,4 +1,4 @@
-/* data-centre, drain and members.  */
+/* Commands data-centre, drain and members.  */
 #include "ctl.h"
 
 #include <inttypes.h>
@@ -16,7 +16,8 @@
 {
   if (json_name_valid (name))
     return true;
-  *code = ctl_usage (c, "'%s' is no name: 1 to 63 letters, digits, '.', '_' or '-'", name);
+  *code = ctl_usage_error (c, "'%s' is not a valid name: 1 to 63 letters, digits, '.', '_' or '-'",
+                           name);
   return false;
 }
 
@@ -24,12 +25,12 @@
 print_data_centre (const json_t *dc)
 {
   char since[CTL_TIME_BYTES];
-  char force[CTL_TIME_BYTES];
+  char in_force[CTL_TIME_BYTES];
   printf ("%-16s %-4s version %" PRId64 " since %s", ctl_text (dc, "data_centre"),
           ctl_text (dc, "state"), ctl_int (dc, "version"),
-          ctl_time (ctl_int (dc, "since_ms"), since));
+          ctl_format_time (ctl_int (dc, "since_ms"), since));
   if (strcmp (ctl_text (dc, "state"), "out") == 0)
-    printf (", in force %s (%s)", ctl_time (ctl_int (dc, "in_force_at_ms"), force),
+    printf (", in force %s (%s)", ctl_format_time (ctl_int (dc, "in_force_at_ms"), in_force),
             ctl_text (dc, "in_force_reason"));
   putchar ('\n');
 }
@@ -43,14 +44,14 @@
 }
 
 static bool
-out_in_force (const json_t *body, int64_t version)
+is_out_in_force (const json_t *body, int64_t version)
 {
   return ctl_int (body, "version") == version && ctl_int (body, "in_force_at_ms") > 0;
 }
 
-/* Waits until the out command of VERSION is in force; takes over REPLY.  */
+/* Waits until the out command of VERSION is in force; REPLY is overwritten by later answers.  */
 static int
-wait_out (struct ctl *c, const char *name, struct ctl_reply *reply)
+wait_out_in_force (struct ctl *c, const char *name, struct ctl_reply *reply)
 {
   char path[PATH_BYTES];
   char when[CTL_TIME_BYTES];
@@ -58,40 +59,39 @@
   int64_t version = ctl_int (reply->body, "version");
   json_t *accepted = json_incref (json_object_get (reply->body, "accepted_at_ms"));
   int code = 0;
-  ctl_progress (c, "accepted at %s, in force at the latest at about 3 s after that; waiting",
-                ctl_time (json_integer_value (accepted), when));
+  ctl_progress (c, "accepted at %s, in force within about 3 s of that time; waiting",
+                ctl_format_time (json_integer_value (accepted), when));
   snprintf (path, sizeof path, "/v1/data-centres/%s", name);
-  while (!out_in_force (reply->body, version) && ctl_time_left (c))
+  while (!is_out_in_force (reply->body, version) && ctl_time_left (c))
     {
-      ctl_sleep (c, CTL_POLL_MS);
+      ctl_sleep (c, CTL_POLL_INTERVAL_MS);
       ctl_reply_close (reply);
       ctl_call (c, "GET", path, NULL, reply);
       if (ctl_int (reply->body, "version") > version)
         break;
     }
-  if (out_in_force (reply->body, version))
+  if (is_out_in_force (reply->body, version))
     {
       json_object_set (reply->body, "accepted_at_ms", accepted);
       if (c->json)
         ctl_print_json (reply->body);
       else
         {
-          printf ("accepted %s, in force", ctl_time (json_integer_value (accepted), when));
-          printf (" %s (%s)\n", ctl_time (ctl_int (reply->body, "in_force_at_ms"), when),
+          printf ("accepted %s, in force", ctl_format_time (json_integer_value (accepted), when));
+          printf (" %s (%s)\n", ctl_format_time (ctl_int (reply->body, "in_force_at_ms"), when),
                   ctl_text (reply->body, "in_force_reason"));
         }
     }
   else if (ctl_int (reply->body, "version") > version)
     {
       status_set (&st, STATUS_VERSION_CONFLICT,
-                  "accepted, but data centre '%s' was changed again meanwhile (version %" PRId64
-                  ")",
+                  "accepted, but data centre '%s' was changed again since (version %" PRId64 ")",
                   name, ctl_int (reply->body, "version"));
       code = ctl_fail (c, &st, NULL);
     }
   else
     {
-      status_set (&st, STATUS_TIMEOUT, "accepted, but not known to be in force after %ld ms",
+      status_set (&st, STATUS_TIMEOUT, "accepted, but not confirmed in force after %ld ms",
                   c->timeout_ms);
       code = ctl_fail (c, &st, NULL);
     }
@@ -103,7 +103,7 @@
 print_accepted (const json_t *body)
 {
   char when[CTL_TIME_BYTES];
-  printf ("accepted %s", ctl_time (ctl_int (body, "accepted_at_ms"), when));
+  printf ("accepted %s", ctl_format_time (ctl_int (body, "accepted_at_ms"), when));
   if (json_object_get (body, "version"))
     printf (", version %" PRId64, ctl_int (body, "version"));
   if (json_object_get (body, "node"))
@@ -115,14 +115,14 @@
 
 /* Counts the VMs that answered, and those of them that have applied the log up to INDEX.  */
 static size_t
-count_applied (struct ctl *c, int64_t index, size_t *reached, size_t *members_count)
+count_applied (struct ctl *c, int64_t index, size_t *reached, size_t *member_count)
 {
   struct ctl_probe *probes = xcalloc (CTL_MAX_VMS, sizeof *probes);
   json_t *members;
   size_t applied = 0;
   *reached = 0;
-  *members_count = ctl_ask_all (c, probes, &members);
-  for (size_t i = 0; i < *members_count; i++)
+  *member_count = ctl_query_members (c, probes, &members);
+  for (size_t i = 0; i < *member_count; i++)
     {
       bool answered = status_ok (&probes[i].reply.status) && probes[i].reply.body;
       *reached += answered ? 1 : 0;
@@ -135,8 +135,8 @@
   return applied;
 }
 
-/* Waits until every VM that answers has applied the change, so that a later command is answered
-   from a state that contains it, whichever VM it asks.  */
+/* Waits until each VM that answers has applied the change, so that a later command to any of them
+   reads state that includes it.  */
 static int
 wait_applied (struct ctl *c, const json_t *answer)
 {
@@ -149,21 +149,21 @@
     {
       size_t applied = count_applied (c, index, &reached, &total);
       if (applied != last)
-        ctl_progress (c, "accepted; known on %zu of %zu VMs, %zu do not answer", applied, total,
+        ctl_progress (c, "accepted; applied on %zu of %zu VMs, %zu do not answer", applied, total,
                       total - reached);
       last = applied;
       if (applied == reached && reached > 0)
         return 0;
       if (ctl_time_left (c))
-        ctl_sleep (c, CTL_POLL_MS);
+        ctl_sleep (c, CTL_POLL_INTERVAL_MS);
     }
   while (ctl_time_left (c));
-  status_set (&st, STATUS_TIMEOUT, "accepted, but after %ld ms known on %zu of %zu VMs",
+  status_set (&st, STATUS_TIMEOUT, "accepted, but after %ld ms applied on %zu of %zu VMs",
               c->timeout_ms, last, total);
   return ctl_fail (c, &st, NULL);
 }
 
-/* Sends a change, waits until it is known everywhere and prints the answer.  */
+/* Sends a change, waits until it is applied on all VMs and prints the answer.  */
 static int
 finish_change (struct ctl *c, const char *path, const json_t *body)
 {
@@ -196,7 +196,7 @@
   else if (ctl_call (c, "POST", path, body, &reply) < 0)
     code = ctl_fail (c, &reply.status, &reply);
   else
-    code = wait_out (c, name, &reply);
+    code = wait_out_in_force (c, name, &reply);
   json_decref (body);
   ctl_reply_close (&reply);
   return code;
@@ -209,7 +209,7 @@
   char *end;
   long long number = strtoll (epoch, &end, 10);
   if (*end || end == epoch || number < 1)
-    return ctl_usage (c, "epoch '%s' is out of range, allowed: 1 and up", epoch);
+    return ctl_usage_error (c, "epoch '%s' is out of range, allowed: 1 and up", epoch);
   json_t *body = json_pack ("{s:s, s:I}", "request_id", c->request_id, "epoch", (json_int_t)number);
   snprintf (path, sizeof path, "/v1/data-centres/%s/close-epoch", name);
   int code = finish_change (c, path, body);
@@ -221,29 +221,29 @@
 command_data_centre (struct ctl *c)
 {
   int code = 0;
-  const char *verb = c->word_count > 1 ? c->words[1] : "list";
-  const char *name = c->word_count > 2 ? c->words[2] : NULL;
+  const char *verb = c->arg_count > 1 ? c->args[1] : "list";
+  const char *name = c->arg_count > 2 ? c->args[2] : NULL;
   if (strcmp (verb, "list") == 0 && !name)
-    return ctl_finish (c, "GET", "/v1/data-centres", NULL, print_data_centres);
+    return ctl_call_and_print (c, "GET", "/v1/data-centres", NULL, print_data_centres);
   if (name && !valid_name (c, name, &code))
     return code;
-  if (c->word_count == 3 && (strcmp (verb, "out") == 0 || strcmp (verb, "return") == 0))
+  if (c->arg_count == 3 && (strcmp (verb, "out") == 0 || strcmp (verb, "return") == 0))
     return change_data_centre (c, verb, name);
-  if (c->word_count == 4 && strcmp (verb, "close-epoch") == 0)
-    return close_epoch (c, name, c->words[3]);
-  return ctl_usage (c, "usage: sassafrasctl data-centre [list | out NAME | return NAME | "
-                       "close-epoch NAME EPOCH]");
+  if (c->arg_count == 4 && strcmp (verb, "close-epoch") == 0)
+    return close_epoch (c, name, c->args[3]);
+  return ctl_usage_error (c, "usage: sassafrasctl data-centre [list | out NAME | return NAME | "
+                             "close-epoch NAME EPOCH]");
 }
 
 int
 command_drain (struct ctl *c)
 {
   int code = 0;
-  if (c->word_count != 2)
-    return ctl_usage (c, "usage: sassafrasctl drain VM [--off]");
-  if (!valid_name (c, c->words[1], &code))
+  if (c->arg_count != 2)
+    return ctl_usage_error (c, "usage: sassafrasctl drain VM [--off]");
+  if (!valid_name (c, c->args[1], &code))
     return code;
-  json_t *body = json_pack ("{s:s, s:s, s:b}", "request_id", c->request_id, "vm", c->words[1],
+  json_t *body = json_pack ("{s:s, s:s, s:b}", "request_id", c->request_id, "vm", c->args[1],
                             "draining", (int)!c->off);
   code = finish_change (c, "/v1/drain", body);
   json_decref (body);
@@ -273,7 +273,7 @@
     printf ("draining: %s\n", json_string_value (json_array_get (list, i)));
 }
 
-/* The members as the members file that every VM is started with.  */
+/* Prints the members as the members file that each VM is started with.  */
 static void
 print_members_file (const json_t *body)
 {
@@ -282,7 +282,7 @@
   json_decref (file);
 }
 
-/* Adds or replaces the member that FILE describes.  */
+/* Adds or replaces the member described in FILE.  */
 static int
 put_member (struct ctl *c, const char *verb, const char *file)
 {
@@ -298,7 +298,7 @@
       = json_loadb (text.data ? text.data : "", text.len, JSON_REJECT_DUPLICATES, &error);
   const char *vm = ctl_text (member, "vm");
   if (!member)
-    code = ctl_usage (c, "%s:%d: %s", file, error.line, error.text);
+    code = ctl_usage_error (c, "%s:%d: %s", file, error.line, error.text);
   else if (strcmp (verb, "replace") == 0 && valid_name (c, vm, &code))
     snprintf (path, sizeof path, "/v1/members/%s/replace", vm);
   if (code == 0)
@@ -329,18 +329,18 @@
 int
 command_members (struct ctl *c)
 {
-  const char *verb = c->word_count > 1 ? c->words[1] : "list";
-  if (strcmp (verb, "list") == 0 && c->word_count <= 2)
-    return ctl_finish (c, "GET", "/v1/members", NULL, print_members);
-  if (strcmp (verb, "file") == 0 && c->word_count == 2)
+  const char *verb = c->arg_count > 1 ? c->args[1] : "list";
+  if (strcmp (verb, "list") == 0 && c->arg_count <= 2)
+    return ctl_call_and_print (c, "GET", "/v1/members", NULL, print_members);
+  if (strcmp (verb, "file") == 0 && c->arg_count == 2)
     {
       c->json = false;
-      return ctl_finish (c, "GET", "/v1/members", NULL, print_members_file);
+      return ctl_call_and_print (c, "GET", "/v1/members", NULL, print_members_file);
     }
-  if (c->word_count == 3 && (strcmp (verb, "add") == 0 || strcmp (verb, "replace") == 0))
-    return put_member (c, verb, c->words[2]);
-  if (c->word_count == 3 && strcmp (verb, "remove") == 0)
-    return remove_member (c, c->words[2]);
-  return ctl_usage (c, "usage: sassafrasctl members [list | file | add FILE | replace FILE | "
-                       "remove VM]");
+  if (c->arg_count == 3 && (strcmp (verb, "add") == 0 || strcmp (verb, "replace") == 0))
+    return put_member (c, verb, c->args[2]);
+  if (c->arg_count == 3 && strcmp (verb, "remove") == 0)
+    return remove_member (c, c->args[2]);
+  return ctl_usage_error (c, "usage: sassafrasctl members [list | file | add FILE | replace FILE | "
+                             "remove VM]");
 }
