--- a/src/edge/daemon.c
+++ b/src/edge/daemon.c
@@ -11,7 +11,7 @@
 #include "log.h"
 
 #define MS_PER_S 1000.0
-#define HANDOVER_LIMIT_MS 5000 /* for leadership and open operators' requests on a planned stop */
+#define STOP_TIMEOUT_MS 5000 /* for leadership transfers, open operator and backend requests */
 
 static void
 dump_state (struct daemon *d)
@@ -24,11 +24,11 @@
 }
 
 static bool
-may_end (const struct daemon *d, int64_t now_ms)
+may_exit (const struct daemon *d, int64_t now_ms)
 {
   if (!d->proxy_drained)
     return false;
-  bool settled = !daemon_leads (d) && http_server_open_requests (d->operator_server) == 0
+  bool settled = !daemon_leads_any_group (d) && http_server_open_requests (d->operator_server) == 0
                  && http_server_open_requests (d->backend_server) == 0;
   return settled || now_ms >= d->stop_deadline_ms;
 }
@@ -48,7 +48,7 @@
     }
   daemon_tick_groups (d, now_ms);
   daemon_tick_requests (d, now_ms);
-  if (d->stopping && may_end (d, now_ms))
+  if (d->stopping && may_exit (d, now_ms))
     ev_break (loop, EVBREAK_ALL);
 }
 
@@ -61,7 +61,7 @@
 }
 
 static void
-on_busy (struct ev_loop *loop, ev_idle *w, int events)
+on_idle (struct ev_loop *loop, ev_idle *w, int events)
 {
   (void)loop;
   (void)w;
@@ -69,7 +69,7 @@
 }
 
 static void
-on_drained (void *arg)
+on_proxy_drained (void *arg)
 {
   struct daemon *d = arg;
   d->proxy_drained = true;
@@ -81,8 +81,8 @@
   struct daemon *d = w->data;
   (void)loop;
   (void)events;
-  log_line (LOG_INFO, "no new connections are accepted; waiting for requests in flight");
-  proxy_drain (d->proxy, on_drained, d);
+  log_line (LOG_INFO, "accepting no new connections; waiting for requests in flight");
+  proxy_drain (d->proxy, on_proxy_drained, d);
 }
 
 static void
@@ -92,13 +92,13 @@
   (void)events;
   if (d->stopping)
     {
-      log_line (LOG_WARN, "second stop signal: ending at once");
+      log_line (LOG_WARN, "second stop signal: exiting immediately");
       ev_break (loop, EVBREAK_ALL);
       return;
     }
-  log_line (LOG_INFO, "planned stop: the health check fails from now on");
+  log_line (LOG_INFO, "planned stop: failing the health check");
   d->stopping = true;
-  d->stop_deadline_ms = clock_now_ms (d->clock) + HANDOVER_LIMIT_MS;
+  d->stop_deadline_ms = clock_now_ms (d->clock) + STOP_TIMEOUT_MS;
   daemon_transfer_leadership (d);
   ev_timer_start (loop, &d->drain_timer);
 }
@@ -117,7 +117,7 @@
   ev_timer_init (&d->tick, on_tick, 0.0, DAEMON_TICK_MS / MS_PER_S);
   ev_timer_init (&d->drain_timer, on_drain_delay, DAEMON_DRAIN_DELAY_MS / MS_PER_S, 0.0);
   ev_prepare_init (&d->flush, on_flush);
-  ev_idle_init (&d->busy, on_busy);
+  ev_idle_init (&d->flush_pending, on_idle);
   ev_signal_init (&d->on_term, on_stop_signal, SIGTERM);
   ev_signal_init (&d->on_int, on_stop_signal, SIGINT);
   ev_signal_init (&d->on_dump, on_dump_signal, SIGUSR1);
@@ -152,7 +152,7 @@
   d->clock = clock_real ();
   d->node = settings->node;
   d->self = members_find (&settings->members, settings->vm);
-  d->disk = settings->data_dir[0] != '\0';
+  d->has_disk = settings->data_dir[0] != '\0';
   rng_init (&d->rng, random_seed ());
   return d;
 }
@@ -191,7 +191,7 @@
   start_watchers (d);
   log_line (LOG_INFO, "started: callers %s, backend servers %s, operators %s, peers %s%s",
             settings->callers, settings->backends, settings->operators, settings->peers,
-            d->disk ? "" : ", no disk");
+            d->has_disk ? "" : ", no disk");
   return d;
 }
 
--- a/src/edge/daemon_groups.c
+++ b/src/edge/daemon_groups.c
@@ -1,4 +1,4 @@
-/* The replicated groups of one VM: bootstrap, transport, disk writes, leadership.  */
+/* Replicated groups of one VM: bootstrap, transport, disk writes and leadership.  */
 #include <errno.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -10,11 +10,11 @@
 #include "home_cell.h"
 #include "log.h"
 
-#define HANDOVER_EVERY_MS 2000 /* attempts of a drained VM to hand its groups over */
-#define CATCH_UP_MS 100
-#define MAX_FLUSH_ROUNDS 8 /* results of one flush often cause another proposal */
+#define LEADERSHIP_TRANSFER_INTERVAL_MS 2000 /* retries of a draining VM */
+#define REGISTRY_SETTLE_MS 100
+#define FLUSH_MAX_ROUNDS 8 /* the results of a flush often cause further proposals */
 
-static struct counter raft_out
+static struct counter raft_sent
     = { .name = "sassafras_raft_messages_sent_total", .help = "Raft messages sent to peers." };
 
 static struct daemon_group *
@@ -95,7 +95,7 @@
     peers[i] = (struct peer_config){ .name = members->items[i].vm,
                                      .node = members->items[i].node,
                                      .address = members->items[i].peer };
-  d->initialized = d->disk && has_stored_state (d);
+  d->initialized = d->has_disk && has_stored_state (d);
   const struct peer_net_config config = {
     .deployment = d->settings->deployment,
     .vm = d->settings->vm,
@@ -124,7 +124,7 @@
 send_raft (void *arg, const raft_message *m)
 {
   struct daemon_group *g = arg;
-  counter_add (&raft_out, 1);
+  counter_add (&raft_sent, 1);
   peer_send_raft (g->daemon->net, m);
 }
 
@@ -145,7 +145,7 @@
 open_store (struct daemon *d, const char *name, struct status *st)
 {
   char path[SETTINGS_PATH_BYTES + 80];
-  if (!d->disk)
+  if (!d->has_disk)
     return memory_store_open ();
   if (mkdir (d->settings->data_dir, 0700) < 0 && errno != EEXIST)
     {
@@ -158,10 +158,10 @@
   return io ? journal_open (io, name, st) : NULL;
 }
 
-/* Members of a group at its first start: all VMs for the registry, the voters and the data
-   centre's own VMs for a cell.  */
+/* Initial members of a group: all VMs for the registry; the voters and the VMs of its data centre
+   for a cell.  */
 static size_t
-first_members (const struct daemon *d, const char *data_centre, raft_member *out)
+initial_members (const struct daemon *d, const char *data_centre, raft_member *out)
 {
   const struct member_list *all = &d->settings->members;
   size_t n = 0;
@@ -182,7 +182,7 @@
   char name[SETTINGS_NAME_BYTES + 8];
   raft_member list[PEER_MAX_MEMBERS];
   struct daemon_group *g = &d->groups[d->group_count];
-  const raft_members members = { { (u_int)first_members (d, data_centre, list), list } };
+  const raft_members members = { { (u_int)initial_members (d, data_centre, list), list } };
   snprintf (name, sizeof name, "%s%s", data_centre ? "cell-" : "registry",
             data_centre ? data_centre : "");
   struct store *store = open_store (d, name, st);
@@ -193,7 +193,7 @@
       = { .id = id,
           .node = d->node,
           .name = cell ? cell_service_data_centre (cell) : "registry",
-          .initialized = join || !d->disk,
+          .initialized = join || !d->has_disk,
           .members = &members,
           .store = store,
           .machine = machine,
@@ -247,8 +247,8 @@
   return x->node < y->node ? -1 : x->node > y->node;
 }
 
-/* Data centres in the order in which the registry adds them: by the lowest node id of their VMs.
-   Their numbers are the cells'.  */
+/* Lists data centres in the order in which the registry adds them, by the lowest node id of their
+   VMs.  The position of a data centre determines its cell number.  */
 static size_t
 list_data_centres (const struct daemon *d, const char **out)
 {
@@ -293,16 +293,16 @@
   return 0;
 }
 
-/* Any majority of the registry's voters that formed the group shares a member, other than this VM,
-   with any N - N/2 of the others.  So when that many others have no state, no group exists in which
-   an earlier disk of this VM may have voted.  */
+/* Any majority of the registry's N voters that could have formed the group shares a member, other
+   than this VM, with any N - N/2 of the other voters.  If that many have no state, no group exists
+   in which an earlier disk of this VM may have voted.  */
 static bool
-is_new_system (size_t voters, size_t others_without_state)
+is_new_deployment (size_t voters, size_t others_without_state)
 {
   return others_without_state >= voters - voters / 2;
 }
 
-/* True when this VM must join groups that exist; false with *KNOWN false while that is open.  */
+/* True if this VM must join existing groups; *KNOWN is false while this is undetermined.  */
 static bool
 must_join (const struct daemon *d, bool *known)
 {
@@ -322,7 +322,7 @@
       without_state += m->registry_voter;
     }
   bool alone = voters == 1 && d->self->registry_voter;
-  *known = alone || is_new_system (voters, without_state);
+  *known = alone || is_new_deployment (voters, without_state);
   return false;
 }
 
@@ -332,7 +332,7 @@
   bool known;
   if (d->groups_open)
     return 0;
-  if (!d->disk || d->initialized)
+  if (!d->has_disk || d->initialized)
     return open_groups (d, true, st);
   bool join = must_join (d, &known);
   return known ? open_groups (d, join, st) : 0;
@@ -342,7 +342,7 @@
 daemon_flush_groups (struct daemon *d)
 {
   bool again = true;
-  for (int round = 0; round < MAX_FLUSH_ROUNDS && again; round++)
+  for (int round = 0; round < FLUSH_MAX_ROUNDS && again; round++)
     {
       again = false;
       for (size_t i = 0; i < d->group_count; i++)
@@ -354,16 +354,16 @@
         }
     }
   if (again)
-    ev_idle_start (d->loop, &d->busy);
+    ev_idle_start (d->loop, &d->flush_pending);
   else
-    ev_idle_stop (d->loop, &d->busy);
+    ev_idle_stop (d->loop, &d->flush_pending);
 }
 
-/* Tells the peers that this VM has state, once any of its groups has taken part in an election.  */
+/* Reports stored state to the peers once any group of this VM has taken part in an election.  */
 static void
-note_state (struct daemon *d)
+publish_stored_state (struct daemon *d)
 {
-  if (d->initialized || !d->disk)
+  if (d->initialized || !d->has_disk)
     return;
   for (size_t i = 0; i < d->group_count; i++)
     if (group_term (d->groups[i].group) > 0)
@@ -375,7 +375,7 @@
 }
 
 void
-daemon_follow_members (struct daemon *d)
+daemon_update_peers (struct daemon *d)
 {
   const registry_member *all;
   size_t n = registry_members (d->registry, &all);
@@ -396,29 +396,29 @@
   return self && self->draining;
 }
 
-/* The lists count as known once a leader was heard and nothing committed is left to apply for
-   CATCH_UP_MS: a VM without a disk gets the log in several batches.  */
+/* The registry counts as known when its leader is known and all known commits have been applied for
+   REGISTRY_SETTLE_MS, because a VM without a disk receives the log in several batches.  */
 static void
-note_registry (struct daemon *d, int64_t now_ms)
+update_registry_known (struct daemon *d, int64_t now_ms)
 {
   if (d->registry_known || !d->groups_open)
     return;
   const struct group *g = d->groups[0].group;
-  bool even = group_leader_node (g) != 0 && registry_applied (d->registry) > 0
-              && group_applied_index (g) == group_commit_index (g);
-  if (!even)
-    d->registry_even_ms = now_ms;
-  d->registry_known = even && now_ms - d->registry_even_ms >= CATCH_UP_MS;
+  bool caught_up = group_leader_node (g) != 0 && registry_applied (d->registry) > 0
+                   && group_applied_index (g) == group_commit_index (g);
+  if (!caught_up)
+    d->registry_caught_up_ms = now_ms;
+  d->registry_known = caught_up && now_ms - d->registry_caught_up_ms >= REGISTRY_SETTLE_MS;
 }
 
-/* A VM that is drained leads nothing; a group without another voter keeps its leader.  */
+/* A draining VM transfers leadership; a group without another voter keeps its leader.  */
 static void
-leave_leadership (struct daemon *d, int64_t now_ms)
+transfer_while_draining (struct daemon *d, int64_t now_ms)
 {
   struct status st;
-  if (!daemon_is_draining (d) || now_ms < d->next_handover_ms)
+  if (!daemon_is_draining (d) || now_ms < d->next_transfer_ms)
     return;
-  d->next_handover_ms = now_ms + HANDOVER_EVERY_MS;
+  d->next_transfer_ms = now_ms + LEADERSHIP_TRANSFER_INTERVAL_MS;
   for (size_t i = 0; i < d->group_count; i++)
     if (group_is_leader (d->groups[i].group))
       group_transfer (d->groups[i].group, 0, &st);
@@ -429,17 +429,17 @@
 {
   for (size_t i = 0; i < d->group_count; i++)
     group_tick (d->groups[i].group, now_ms);
-  note_state (d);
-  note_registry (d, now_ms);
+  publish_stored_state (d);
+  update_registry_known (d, now_ms);
   registry_service_tick (d->registry_service, now_ms);
   for (size_t i = 0; i < d->cell_count; i++)
     cell_service_tick (d->cells[i], now_ms);
   proposal_router_tick (d->proposals, now_ms);
-  leave_leadership (d, now_ms);
+  transfer_while_draining (d, now_ms);
 }
 
 bool
-daemon_leads (const struct daemon *d)
+daemon_leads_any_group (const struct daemon *d)
 {
   for (size_t i = 0; i < d->group_count; i++)
     if (group_is_leader (d->groups[i].group))
@@ -455,7 +455,7 @@
     cell_service_stop (d->cells[i]);
   for (size_t i = 0; i < d->group_count; i++)
     if (group_is_leader (d->groups[i].group) && group_transfer (d->groups[i].group, 0, &st) < 0)
-      log_line (LOG_INFO, "group %llu: no transfer of leadership: %s",
+      log_line (LOG_INFO, "group %llu: leadership transfer failed: %s",
                 (unsigned long long)d->groups[i].id, st.message);
 }
 
--- a/src/edge/daemon_http.c
+++ b/src/edge/daemon_http.c
@@ -1,10 +1,10 @@
-/* The HTTP servers for backend servers and for operators, and the state dump.  */
+/* HTTP servers for backend servers and operators, and the state dump.  */
 #include <string.h>
 
 #include "counters.h"
 #include "daemon_internal.h"
 
-#define BACKEND_MAX_BODY (1024 * 1024)
+#define BACKEND_MAX_BODY_BYTES (1024 * 1024)
 
 static struct counter backend_requests
     = { .name = "sassafras_backend_requests_total", .help = "Requests of runners and workers." };
@@ -56,9 +56,9 @@
   if (daemon_is_draining (d))
     return "draining";
   if (!d->groups_open)
-    return "waiting to learn whether the groups exist";
+    return "not yet known whether the groups exist";
   if (!d->registry_known)
-    return "the registry is not known yet";
+    return "the registry is catching up";
   for (size_t i = 0; i < d->group_count; i++)
     {
       group_stats (d->groups[i].group, &stats);
@@ -200,8 +200,8 @@
       cell_service_plans_changed (d->cells[i]);
   if (changes & REGISTRY_CHANGED_MEMBERS)
     {
-      daemon_follow_members (d);
-      daemon_follow_entries (d);
+      daemon_update_peers (d);
+      daemon_update_entries (d);
     }
 }
 
@@ -219,7 +219,7 @@
                                            .on_change = on_registry_change,
                                            .on_change_arg = d };
   const struct http_server_config backend = { .address = d->settings->backends,
-                                              .max_body = BACKEND_MAX_BODY,
+                                              .max_body = BACKEND_MAX_BODY_BYTES,
                                               .handler = on_backend_request,
                                               .handler_arg = d };
   const struct http_server_config operators = { .address = d->settings->operators,
--- a/src/edge/daemon_internal.h
+++ b/src/edge/daemon_internal.h
@@ -1,4 +1,4 @@
-/* daemon_internal: what the files of the daemon share.  */
+/* daemon_internal: state and functions shared by the files of the daemon.  */
 
 #ifndef SASSAFRAS_DAEMON_INTERNAL_H
 #define SASSAFRAS_DAEMON_INTERNAL_H
@@ -40,7 +40,7 @@
   uint64_t node;
   uint64_t incarnation;
   const registry_member *self; /* in the members file */
-  bool disk;                   /* this VM keeps state */
+  bool has_disk;               /* this VM stores state on disk */
 
   struct peer_net *net;
   struct registry *registry;
@@ -51,9 +51,9 @@
   bool groups_open;
   struct cell_service *cells[PROPOSAL_MAX_GROUPS];
   size_t cell_count;
-  bool initialized;         /* as told to the peers */
-  bool registry_known;      /* caught up with a leader of the registry since the start */
-  int64_t registry_even_ms; /* since when everything known to be committed is applied */
+  bool initialized;              /* this VM has stored state; reported to the peers */
+  bool registry_known;           /* has caught up with a leader of the registry since the start */
+  int64_t registry_caught_up_ms; /* time since which all known commits are applied */
 
   struct runner_table *runners;
   struct router router;
@@ -71,31 +71,31 @@
   ev_timer tick;
   ev_timer drain_timer;
   ev_prepare flush;
-  ev_idle busy; /* keeps the loop from blocking while a group needs a flush */
+  ev_idle flush_pending; /* keeps the loop from blocking while a group needs a flush */
   ev_signal on_term;
   ev_signal on_int;
   ev_signal on_dump;
   bool stopping;
   bool proxy_drained;
   int64_t stop_deadline_ms;
-  int64_t next_handover_ms; /* while this VM is drained */
+  int64_t next_transfer_ms; /* while this VM is draining */
 };
 
 /* daemon_groups.c */
 int daemon_open_peers (struct daemon *d, struct status *st); /* Transport and bootstrap. */
-int daemon_bootstrap (struct daemon *d, struct status *st);  /* Opens the groups once it may. */
+int daemon_bootstrap (struct daemon *d, struct status *st);  /* Opens the groups if possible. */
 void daemon_flush_groups (struct daemon *d);                 /* Disk writes and messages. */
 void daemon_tick_groups (struct daemon *d, int64_t now_ms);  /* Timers of groups and services. */
-void daemon_close_groups (struct daemon *d);                 /* Groups, then their services. */
-void daemon_follow_members (struct daemon *d);               /* Addresses of the peers. */
-bool daemon_leads (const struct daemon *d);                  /* Any group. */
-bool daemon_is_draining (const struct daemon *d);            /* Operators drain this VM. */
-void daemon_transfer_leadership (struct daemon *d);          /* All groups led here. */
+void daemon_close_groups (struct daemon *d);                 /* Groups, then services. */
+void daemon_update_peers (struct daemon *d);                 /* Peer addresses. */
+bool daemon_leads_any_group (const struct daemon *d);        /* Leads any group. */
+bool daemon_is_draining (const struct daemon *d);            /* Drained by operators. */
+void daemon_transfer_leadership (struct daemon *d);          /* All groups led by this VM. */
 
 /* daemon_requests.c */
-int daemon_open_requests (struct daemon *d, struct status *st); /* Caller side. */
+int daemon_open_requests (struct daemon *d, struct status *st); /* Opens the caller side. */
 void daemon_tick_requests (struct daemon *d, int64_t now_ms);   /* Runner table and digests. */
-void daemon_follow_entries (struct daemon *d);                  /* Number of entries changed. */
+void daemon_update_entries (struct daemon *d);                  /* After a member change. */
 void daemon_receive_runners (struct daemon *d, const struct peer_info *from,
                              const runner_digest *digest, struct peer_reply *reply);
 void daemon_peer_connected (struct daemon *d, const struct peer_info *peer);
@@ -104,6 +104,6 @@
 /* daemon_http.c */
 int daemon_open_http (struct daemon *d, struct status *st); /* Backend and operator servers. */
 void daemon_close_http (struct daemon *d);
-json_t *daemon_state (struct daemon *d); /* The whole state, for operators. */
+json_t *daemon_state (struct daemon *d); /* Complete state, for operators. */
 
 #endif
--- a/src/edge/daemon_requests.c
+++ b/src/edge/daemon_requests.c
@@ -1,4 +1,4 @@
-/* The caller side of one VM: runners, routing, limits and the proxy.  */
+/* Caller side of one VM: runners, routing, limits and the proxy.  */
 #include <stdlib.h>
 #include <string.h>
 
@@ -7,7 +7,7 @@
 
 #define DIGEST_TIMEOUT_MS 1000
 
-/* A digest on its way to one peer.  */
+/* Pending digest call to one peer.  */
 struct digest_call
 {
   struct daemon *daemon;
@@ -29,12 +29,12 @@
 }
 
 static bool
-plans_are_known (void *arg)
+plans_are_loaded (void *arg)
 {
   return ((const struct daemon *)arg)->registry_known;
 }
 
-/* Entries that are not drained, and this VM's place among them.  */
+/* Counts the entry VMs; *RANK is the index of this VM among them.  */
 static unsigned
 count_entries (const struct daemon *d, unsigned *rank)
 {
@@ -57,7 +57,7 @@
 }
 
 static void
-list_near (const struct daemon *d, struct router_config *config)
+list_nearby_data_centres (const struct daemon *d, struct router_config *config)
 {
   const struct member_list *all = &d->settings->members;
   for (size_t i = 0; i < all->count && config->near_count < ROUTER_MAX_NEAR; i++)
@@ -85,10 +85,10 @@
   struct router_config rc
       = { .far_bytes_per_s = ROUTER_FAR_BYTES_PER_S, .seed = rng_next (&d->rng) };
   const struct limit_source source
-      = { .lookup = lookup_limits, .known = plans_are_known, .arg = d };
+      = { .lookup = lookup_limits, .known = plans_are_loaded, .arg = d };
   snprintf (rc.data_centre, sizeof rc.data_centre, "%s", d->settings->data_centre);
   rc.entries = count_entries (d, &rc.rank);
-  list_near (d, &rc);
+  list_nearby_data_centres (d, &rc);
   d->runners = runner_table_open (d->incarnation, now_ms);
   router_init (&d->router, &rc, d->runners, now_ms);
   d->limit = limit_open (&source, rc.entries, now_ms);
@@ -110,7 +110,7 @@
 }
 
 void
-daemon_follow_entries (struct daemon *d)
+daemon_update_entries (struct daemon *d)
 {
   unsigned rank;
   unsigned entries = count_entries (d, &rank);
--- a/src/edge/main.c
+++ b/src/edge/main.c
@@ -1,4 +1,4 @@
-/* sassafrasd: the scheduler's daemon, one on every entry VM.  */
+/* sassafrasd: the scheduler daemon, one on each entry VM.  */
 #include <stdio.h>
 #include <sys/resource.h>
 
@@ -8,7 +8,7 @@
 #include "log.h"
 #include "settings.h"
 
-/* Polls and callers hold a connection each, so the usual soft limit of 1,024 files is too low.  */
+/* Each poll and each caller holds a connection; the usual soft limit of 1,024 files is too low.  */
 static void
 raise_file_limit (void)
 {
@@ -17,7 +17,7 @@
     return;
   limit.rlim_cur = limit.rlim_max;
   if (setrlimit (RLIMIT_NOFILE, &limit) < 0)
-    log_line (LOG_WARN, "cannot raise the limit of open files");
+    log_line (LOG_WARN, "cannot raise the open-file limit");
 }
 
 static int
