--- a/src/edge/job_api.c
+++ b/src/edge/job_api.c
@@ -8,20 +8,20 @@
 #include "json_fields.h"
 #include "propose_command.h"
 
-#define PATH "/v1/jobs"
+#define JOBS_PATH "/v1/jobs"
 #define URL_BYTES 256
 #define DEFAULT_CHECKPOINT_MS 1000
 #define DEFAULT_LIST_LIMIT 100
 #define MAX_LIST_LIMIT 10000
 
-/* One submission or cancellation until its outcome is known.  */
+/* Pending submission or cancellation.  */
 struct job_call
 {
   struct http_request *req;
   char data_centre[CELL_NAME_BYTES + 1]; /* of the cell */
-  unsigned open; /* commands without an outcome, for a cancellation of many */
+  unsigned pending_count;                /* cancellations: commands without an outcome */
   unsigned cancelled;
-  struct status failure; /* the last one */
+  struct status failure; /* the last failure */
 };
 
 static const struct cell *
@@ -45,7 +45,7 @@
   return 0;
 }
 
-/* Fills SPEC with strings that belong to BODY.  */
+/* Reads SPEC from BODY, which owns its strings.  */
 static int
 read_spec (json_t *body, cell_job_spec *spec, struct status *st)
 {
@@ -96,7 +96,7 @@
 }
 
 static void
-submit (struct job_api *api, struct http_request *req)
+submit_job (struct job_api *api, struct http_request *req)
 {
   struct status st;
   cell_command c = { .kind = CELL_SUBMIT };
@@ -108,15 +108,15 @@
       return;
     }
   const cell_job_spec *spec = &c.cell_command_u.submit;
-  const char *named = json_string_value (json_object_get (body, "data_centre"));
-  uint64_t cell = named ? cell_of_data_centre (api->registry, named)
-                        : home_cell (api->registry, spec->customer, spec->request_id);
+  const char *data_centre = json_string_value (json_object_get (body, "data_centre"));
+  uint64_t cell = data_centre ? cell_of_data_centre (api->registry, data_centre)
+                              : home_cell (api->registry, spec->customer, spec->request_id);
   if (!*api->registry_known)
-    http_reply_error (req, STATUS_NO_QUORUM, "the lists are not known here yet");
+    http_reply_error (req, STATUS_NO_QUORUM, "the lists are not known on this VM yet");
   else if (cell == 0)
     {
-      status_set (&st, named ? STATUS_NOT_FOUND : STATUS_NO_QUORUM, "no data centre '%s' is known",
-                  named ? named : "");
+      status_set (&st, data_centre ? STATUS_NOT_FOUND : STATUS_NO_QUORUM,
+                  "no data centre '%s' is known", data_centre ? data_centre : "");
       http_reply_status (req, &st);
     }
   else
@@ -140,9 +140,9 @@
                     (int)t->evictions);
 }
 
-/* The name of a cell's data centre; empty before the registry is known.  */
+/* Name of a cell's data centre; empty until the registry is known.  */
 static const char *
-cell_name_text (const struct job_api *api, uint64_t number)
+data_centre_name (const struct job_api *api, uint64_t number)
 {
   const char *name = cell_data_centre_name (api->registry, number);
   return name ? name : "";
@@ -158,7 +158,7 @@
       j->spec.kind == CELL_URGENT ? "urgent" : "batch", "class", j->spec.service, "state",
       cell_state_name (cell_job_state (j)), "replicas", (int)j->spec.replicas, "open_tasks",
       (int)j->open_tasks, "cancelled", j->cancelled ? 1 : 0, "reason", j->reason ? j->reason : "",
-      "data_centre", cell_name_text (api, c->number));
+      "data_centre", data_centre_name (api, c->number));
   if (!tasks)
     return o;
   json_t *list = json_array ();
@@ -168,7 +168,7 @@
   return o;
 }
 
-/* Sends a read to a VM of another data centre.  */
+/* Redirects a read to a VM of DATA_CENTRE.  */
 static void
 redirect_to (struct job_api *api, struct http_request *req, const char *data_centre)
 {
@@ -187,9 +187,9 @@
                     data_centre ? data_centre : "");
 }
 
-/* The cell that holds all of a moved job's tasks now; 0 when they are here or in several cells.  */
+/* Cell to which all tasks of a job have moved; 0 if any is still local or they are in several.  */
 static uint64_t
-moved_to (const struct cell_job *j)
+moved_to_cell (const struct cell_job *j)
 {
   const struct cell_task *t;
   uint64_t cell = 0;
@@ -203,10 +203,11 @@
 }
 
 static void
-show (struct job_api *api, struct http_request *req, uint64_t id)
+show_job (struct job_api *api, struct http_request *req, uint64_t id)
 {
-  const char *named = http_query (req, "data_centre");
-  uint64_t number = named ? cell_of_data_centre (api->registry, named) : id >> CELL_ID_SHIFT;
+  const char *data_centre = http_query (req, "data_centre");
+  uint64_t number
+      = data_centre ? cell_of_data_centre (api->registry, data_centre) : id >> CELL_ID_SHIFT;
   const struct cell *c = find_cell (api, number);
   if (!c)
     {
@@ -214,11 +215,11 @@
       return;
     }
   const struct cell_job *j = cell_find_job (c, id);
-  uint64_t other = j ? moved_to (j) : 0;
+  uint64_t other = j ? moved_to_cell (j) : 0;
   if (!j)
     http_reply_error (req, STATUS_NOT_FOUND, "no job %llu in data centre '%s'",
                       (unsigned long long)id, cell_data_centre_name (api->registry, number));
-  else if (other != 0 && !named)
+  else if (other != 0 && !data_centre)
     redirect_to (api, req, cell_data_centre_name (api->registry, other));
   else
     http_reply_json (req, 200, job_json (api, c, j, true));
@@ -242,19 +243,19 @@
 }
 
 static void
-list (struct job_api *api, struct http_request *req)
+list_jobs (struct job_api *api, struct http_request *req)
 {
-  const char *named = http_query (req, "data_centre");
+  const char *data_centre = http_query (req, "data_centre");
   const char *customer = http_query (req, "customer");
   const char *limit_text = http_query (req, "limit");
   size_t limit = limit_text ? strtoul (limit_text, NULL, 10) : DEFAULT_LIST_LIMIT;
-  uint64_t number = named              ? cell_of_data_centre (api->registry, named)
+  uint64_t number = data_centre        ? cell_of_data_centre (api->registry, data_centre)
                     : *api->cell_count ? cell_service_number (api->cells[0])
                                        : 0;
   const struct cell *c = find_cell (api, number);
   if (!c)
     {
-      redirect_to (api, req, named);
+      redirect_to (api, req, data_centre);
       return;
     }
   if (limit > MAX_LIST_LIMIT)
@@ -264,7 +265,7 @@
   append_jobs (api, c, &c->finished, customer, limit, jobs);
   http_reply_json (
       req, 200,
-      json_pack ("{s:s, s:o}", "data_centre", cell_name_text (api, number), "jobs", jobs));
+      json_pack ("{s:s, s:o}", "data_centre", data_centre_name (api, number), "jobs", jobs));
 }
 
 static void
@@ -292,7 +293,7 @@
         status_set (&call->failure, (enum status_kind)r->status, "%s", r->message);
       cell_free_results (&results);
     }
-  if (--call->open == 0)
+  if (--call->pending_count == 0)
     finish_cancel (call);
 }
 
@@ -304,13 +305,13 @@
   return x < y ? -1 : x > y;
 }
 
-/* Cancels jobs with one command for each cell and CELL_MAX_CANCEL ids.  */
+/* Cancels jobs, with one command per cell and up to CELL_MAX_CANCEL ids.  */
 static void
 cancel_ids (struct job_api *api, struct http_request *req, uint64_t *ids, size_t count)
 {
   struct job_call *call = xcalloc (1, sizeof *call);
   call->req = req;
-  call->open = 1;
+  call->pending_count = 1;
   qsort (ids, count, sizeof *ids, compare_ids);
   for (size_t i = 0, n; i < count; i += n)
     {
@@ -320,15 +321,15 @@
       cell_command c = { .kind = CELL_CANCEL };
       c.cell_command_u.cancel.jobs.jobs_val = (u_quad_t *)&ids[i];
       c.cell_command_u.cancel.jobs.jobs_len = (u_int)n;
-      call->open++;
+      call->pending_count++;
       propose_cell_command (api->proposer, cell, &c, on_cancelled, call);
     }
-  if (--call->open == 0)
+  if (--call->pending_count == 0)
     finish_cancel (call);
 }
 
 static void
-cancel_many (struct job_api *api, struct http_request *req)
+cancel_jobs (struct job_api *api, struct http_request *req)
 {
   struct status st;
   json_t *body = http_body_json (req, &st);
@@ -354,7 +355,7 @@
 }
 
 static void
-handle_one (struct job_api *api, struct http_request *req, const char *id_text)
+handle_job (struct job_api *api, struct http_request *req, const char *id_text)
 {
   char *end;
   errno = 0;
@@ -362,7 +363,7 @@
   if (*end || end == id_text || errno != 0)
     http_reply_error (req, STATUS_NOT_FOUND, "'%s' is not a job id", id_text);
   else if (strcmp (req->method, "GET") == 0)
-    show (api, req, id);
+    show_job (api, req, id);
   else if (strcmp (req->method, "DELETE") == 0)
     cancel_ids (api, req, &id, 1);
   else
@@ -372,19 +373,19 @@
 bool
 job_api_handle (struct job_api *api, struct http_request *req)
 {
-  size_t n = strlen (PATH);
-  if (strncmp (req->path, PATH, n) != 0 || (req->path[n] != '\0' && req->path[n] != '/'))
+  size_t n = strlen (JOBS_PATH);
+  if (strncmp (req->path, JOBS_PATH, n) != 0 || (req->path[n] != '\0' && req->path[n] != '/'))
     return false;
   bool get = strcmp (req->method, "GET") == 0;
   bool post = strcmp (req->method, "POST") == 0;
   if (strcmp (req->path + n, "/cancel") == 0 && post)
-    cancel_many (api, req);
+    cancel_jobs (api, req);
   else if (req->path[n] == '/')
-    handle_one (api, req, req->path + n + 1);
+    handle_job (api, req, req->path + n + 1);
   else if (post)
-    submit (api, req);
+    submit_job (api, req);
   else if (get)
-    list (api, req);
+    list_jobs (api, req);
   else
     refuse_method (req);
   return true;
--- a/src/edge/runner_api.c
+++ b/src/edge/runner_api.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#define RENEW_MS 500
+#define RENEW_INTERVAL_MS 500
 
 static int
 copy_name (json_t *body, const char *field, const char *fallback, char *out, struct status *st)
@@ -90,7 +90,7 @@
     }
   if (api->changed)
     api->changed (api->changed_arg);
-  http_reply_json (req, 200, json_pack ("{s:i}", "renew_ms", RENEW_MS));
+  http_reply_json (req, 200, json_pack ("{s:i}", "renew_ms", RENEW_INTERVAL_MS));
 }
 
 void
--- a/src/edge/runner_api.h
+++ b/src/edge/runner_api.h
@@ -1,7 +1,7 @@
 /* runner_api: POST /v1/runners/announce and POST /v1/runners/depart.
 
-   announce: {"id","service","address","slots","connections","in_flight","incarnation"} and
-   optionally "data_centre"; the default is the data centre of the entry.  Answer 200 {"renew_ms"}.
+   announce: {"id","service","address","slots","connections","in_flight","incarnation"} and an
+   optional "data_centre", by default that of the entry VM.  Answer: 200 {"renew_ms"}.
    depart: {"id","incarnation"}.  Errors: BAD_REQUEST, STALE_INCARNATION, OVERLOADED after a pause
    of the process.  */
 
@@ -16,8 +16,8 @@
 {
   struct runner_table *table;
   struct clock *clock;
-  const char *data_centre;     /* of this entry */
-  void (*changed) (void *arg); /* called after a change, to wake queues and send digests; or NULL */
+  const char *data_centre;     /* of this entry VM */
+  void (*changed) (void *arg); /* wakes queues and sends digests after a change; or NULL */
   void *changed_arg;
 };
 
--- a/src/edge/worker_api.c
+++ b/src/edge/worker_api.c
@@ -49,7 +49,7 @@
   return read_report_kind (state, &out->state, st);
 }
 
-/* Reads "tasks"; the array is the caller's to free.  */
+/* Reads "tasks"; the caller frees the array.  */
 static struct worker_task *
 read_tasks (json_t *body, size_t *count, struct status *st)
 {
@@ -161,9 +161,10 @@
   free (tasks);
 }
 
-/* Sends the worker to the leader's VM.  */
+/* Redirects the worker to the leader of the cell.  */
 static void
-redirect (const struct worker_api *api, const struct cell_service *cell, struct http_request *req)
+redirect_to_leader (const struct worker_api *api, const struct cell_service *cell,
+                    struct http_request *req)
 {
   char url[URL_BYTES];
   uint64_t leader = cell ? cell_service_leader (cell) : 0;
@@ -171,7 +172,7 @@
   /* A leader that has not applied its own log yet must not redirect to itself.  */
   if (!m || cell_service_elected (cell))
     {
-      http_reply_error (req, STATUS_NO_QUORUM, "the cell has no leader that is ready yet");
+      http_reply_error (req, STATUS_NO_QUORUM, "the cell has no ready leader yet");
       return;
     }
   snprintf (url, sizeof url, "http://%s%s?data_centre=%s", m->backend, req->path,
@@ -179,7 +180,7 @@
   http_reply_redirect (req, url);
 }
 
-/* The cell the worker belongs to, or NULL when this VM has no part in it.  */
+/* Cell of the worker; NULL if this VM is not a member of it.  */
 static struct cell_service *
 find_cell (const struct worker_api *api, struct http_request *req)
 {
@@ -214,7 +215,7 @@
   if (strcmp (req->method, "POST") != 0)
     http_reply_error (req, STATUS_METHOD_NOT_ALLOWED, "use POST");
   else if (!cell || !cell_service_leading (cell))
-    redirect (api, cell, req);
+    redirect_to_leader (api, cell, req);
   else
     handle_body (cell, req, is_announce);
   return true;
--- a/src/edge/worker_api.h
+++ b/src/edge/worker_api.h
@@ -1,9 +1,9 @@
 /* worker_api: POST /v1/workers/announce and POST /v1/workers/poll.
 
-   Only the leader of the cell answers; any other VM redirects to it with 307.  The query parameter
-   data_centre names the cell; without it, it is the cell of the VM's own data centre.  A redirect
-   carries it, because the leader may also take part in another cell.  Fields and units are
-   described in docs/api.md.  A poll with "wait": 1 is held until there are commands.  */
+   Only the leader of the cell answers; other VMs redirect to it with 307.  The query parameter
+   data_centre selects the cell; the default is the cell of the VM's own data centre.  A redirect
+   includes it, because the leader may also be a member of another cell.  For fields and units see
+   docs/api.md.  A poll with "wait": 1 is held until there are commands.  */
 
 #ifndef SASSAFRAS_WORKER_API_H
 #define SASSAFRAS_WORKER_API_H
@@ -16,12 +16,12 @@
 
 struct worker_api
 {
-  struct cell_service *const *cells; /* on this VM, its own data centre's first */
+  struct cell_service *const *cells; /* on this VM; that of its own data centre is first */
   const size_t *cell_count;          /* 0 until the groups are open */
   const struct registry *registry;
 };
 
 bool worker_api_handle (struct worker_api *api,
-                        struct http_request *req); /* False: not one of these endpoints. */
+                        struct http_request *req); /* False for other endpoints. */
 
 #endif
