--- a/src/edge/operator_api.c
+++ b/src/edge/operator_api.c
@@ -10,14 +10,13 @@
 
 #define BEARER "Bearer "
 
-static struct counter unauthorized_total
-    = { .name = "sassafras_operator_unauthorized_total",
-        .help = "Requests of operators without the right token." };
+static struct counter unauthorized_total = { .name = "sassafras_operator_unauthorized_total",
+                                             .help = "Operator requests without a valid token." };
 
 struct route
 {
   const char *method;
-  const char *pattern; /* '*' stands for one part of the path */
+  const char *pattern; /* '*' matches one path component */
   route_fn *fn;
 };
 
@@ -57,7 +56,7 @@
   { "GET", "/metrics", get_metrics },
 };
 
-/* Copies the part of PATH that '*' stands for; false when PATH does not match.  */
+/* Copies the path component that matches '*'; false if PATH does not match.  */
 static bool
 path_matches (const char *pattern, const char *path, char *subject, size_t size)
 {
@@ -76,7 +75,7 @@
   return true;
 }
 
-/* Takes the same time wherever the first difference is.  */
+/* Compares in a time that does not depend on the position of the first difference.  */
 static bool
 token_equal (const char *a, const char *b)
 {
@@ -164,7 +163,7 @@
 }
 
 static json_t *
-command_json (const registry_result *result, const struct pending *p)
+command_json (const registry_result *result, const struct pending_command *p)
 {
   struct status st;
   json_t *body;
@@ -187,7 +186,7 @@
 }
 
 static void
-reply_result (struct pending *p, const void *data, size_t len)
+reply_result (struct pending_command *p, const void *data, size_t len)
 {
   registry_result result;
   struct status st;
@@ -205,7 +204,7 @@
 static void
 on_proposed (void *arg, const struct status *st, const void *result, size_t len)
 {
-  struct pending *p = arg;
+  struct pending_command *p = arg;
   if (p->api)
     {
       LIST_REMOVE (p, link);
@@ -230,7 +229,7 @@
       buffer_close (&encoded);
       return;
     }
-  struct pending *p = xcalloc (1, sizeof *p);
+  struct pending_command *p = xcalloc (1, sizeof *p);
   p->api = api;
   p->req = req;
   p->render = render;
@@ -243,7 +242,7 @@
 }
 
 static struct local_version *
-local_data_centre (struct operator_api *api, const char *name)
+find_local_version (struct operator_api *api, const char *name)
 {
   for (size_t i = 0; i < api->data_centre_count; i++)
     if (strcmp (api->data_centres[i].name, name) == 0)
@@ -254,7 +253,7 @@
 }
 
 static void
-note_version (struct local_version *v, uint64_t version, int64_t now_ms)
+record_version (struct local_version *v, uint64_t version, int64_t now_ms)
 {
   if (v->version == version)
     return;
@@ -262,7 +261,7 @@
   v->since_ms = now_ms;
 }
 
-/* Notes since when each version has been in force on this VM.  */
+/* Records since when each version has been in force on this VM.  */
 static void
 on_change (void *arg, struct registry *r, unsigned changes)
 {
@@ -272,9 +271,9 @@
   int64_t now_ms = clock_wall_ms ();
   struct registry_lists lists = registry_lists (r);
   if ((changes & REGISTRY_CHANGED_LISTS) && lists.usable)
-    note_version (&api->lists, lists.version, now_ms);
+    record_version (&api->lists, lists.version, now_ms);
   for (size_t i = 0; i < count; i++)
-    note_version (local_data_centre (api, list[i].name), list[i].state_version, now_ms);
+    record_version (find_local_version (api, list[i].name), list[i].state_version, now_ms);
   if (api->config.on_change)
     api->config.on_change (api->config.on_change_arg, r, changes);
 }
@@ -294,7 +293,7 @@
 void
 operator_api_close (struct operator_api *api)
 {
-  struct pending *p;
+  struct pending_command *p;
   if (!api)
     return;
   while ((p = LIST_FIRST (&api->pending)))
--- a/src/edge/operator_api_internal.h
+++ b/src/edge/operator_api_internal.h
@@ -1,4 +1,4 @@
-/* operator_api_internal: what the files of operator_api share.  */
+/* operator_api_internal: shared by the files of operator_api.  */
 
 #ifndef SASSAFRAS_OPERATOR_API_INTERNAL_H
 #define SASSAFRAS_OPERATOR_API_INTERNAL_H
@@ -8,7 +8,7 @@
 #include "json_check.h"
 #include "operator_api.h"
 
-/* Since when a version has been in force on this VM.  */
+/* Version in force on this VM, and since when.  */
 struct local_version
 {
   char name[REGISTRY_NAME_BYTES + 1];
@@ -22,25 +22,25 @@
   struct local_version lists;
   struct local_version data_centres[REGISTRY_MAX_DATA_CENTRES];
   size_t data_centre_count;
-  LIST_HEAD (pending_list, pending) pending;
+  LIST_HEAD (pending_list, pending_command) pending;
 };
 
-/* Fills the answer to a command that was committed.  */
+/* Adds the fields of one kind of command to the answer after its commit.  */
 typedef void render_fn (struct operator_api *api, const registry_result *result,
                         const char *subject, json_t *answer);
 
-/* A command that waits for its commit.  */
-struct pending
+/* Command that waits for its commit.  */
+struct pending_command
 {
-  struct operator_api *api; /* NULL once the API is closed */
+  struct operator_api *api; /* NULL after operator_api_close */
   struct http_request *req;
   render_fn *render;
   char subject[REGISTRY_NAME_BYTES + 1]; /* data centre or VM */
   char request_id[REGISTRY_NAME_BYTES + 1];
-  LIST_ENTRY (pending) link;
+  LIST_ENTRY (pending_command) link;
 };
 
-/* The body of a request under check.  */
+/* Request body and the faults found in it.  */
 struct api_body
 {
   struct json_check check;
@@ -50,13 +50,13 @@
   char request_id[REGISTRY_NAME_BYTES];
 };
 
-/* One request: SUBJECT is the part of the path that a '*' in the route stands for.  */
+/* Handles a request; SUBJECT is the path component that matches '*' in the route.  */
 typedef void route_fn (struct operator_api *api, struct http_request *req, const char *subject);
 
 int api_body_open (struct api_body *b, struct http_request *req,
                    const char *const *fields); /* Reads the body and request_id; see _finish. */
 bool api_body_finish (struct api_body *b, struct http_request *req,
-                      enum status_kind kind); /* Answers the faults with KIND; true when none. */
+                      enum status_kind kind); /* Answers KIND with the faults; true if none. */
 void api_body_close (struct api_body *b);     /* Frees it. */
 void api_propose (struct operator_api *api, struct http_request *req, registry_command *command,
                   render_fn *render, const char *subject); /* Proposes; answers later. */
--- a/src/edge/operator_api_lists.c
+++ b/src/edge/operator_api_lists.c
@@ -14,7 +14,7 @@
   http_reply_json (req, MHD_HTTP_OK, body);
 }
 
-/* A list is the text of its file, or the object itself; released with free.  */
+/* Returns a list given as file text or as a JSON object; the caller frees it.  */
 static char *
 list_text (struct json_check *c, const json_t *root, const char *key)
 {
--- a/tests/test_operator_api.c
+++ b/tests/test_operator_api.c
@@ -1,6 +1,6 @@
-/* Guards against an operators' command that bypasses the check or the token, an answer that hides
-   the current version or the time in force, a lost outcome that is reported as refused, and a body
-   of any bytes that is not answered exactly once.  */
+/* Guards against operator commands that bypass validation or the token, answers without the current
+   version or the time in force, a lost outcome that is reported as refused, and arbitrary request
+   bodies that are not answered exactly once.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -24,7 +24,7 @@
   "{\"plans\":[{\"id\":\"p\",\"weight\":1,\"urgent_concurrency\":1,\"requests_per_s\":1,"          \
   "\"batch_millicores\":1,\"memory_mb\":1,\"accelerators\":0,\"evictions_per_hour\":1}]}"
 
-/* Applies at once, or answers with FAIL.  */
+/* Applies commands immediately, or answers with FAIL.  */
 struct fake_proposer
 {
   struct proposer proposer;
@@ -59,7 +59,7 @@
   if (f->fail == STATUS_OK || f->fail == STATUS_OUTCOME_UNKNOWN)
     m->ops->apply (m, ++f->index, command, len, &result);
   if (f->fail != STATUS_OK)
-    status_set (&st, f->fail, "as the test says");
+    status_set (&st, f->fail, "failure injected by the test");
   done (arg, &st, result.data, result.len);
   buffer_close (&result);
 }
@@ -163,9 +163,9 @@
   ev_loop_destroy (f->loop);
 }
 
-/* Body of PUT /v1/lists with the files as text; released by the caller.  */
+/* Returns the body of PUT /v1/lists with the lists as text; the caller frees it.  */
 static char *
-edit (const char *id, int version, const char *customers)
+lists_body (const char *id, int version, const char *customers)
 {
   json_t *body = json_pack ("{s:s, s:i, s:s, s:s}", "request_id", id, "version", version, "plans",
                             PLANS, "customers", customers);
@@ -175,9 +175,9 @@
 }
 
 static int
-put (struct fixture *f, const char *id, int version, const char *customers)
+put_lists (struct fixture *f, const char *id, int version, const char *customers)
 {
-  char *body = edit (id, version, customers);
+  char *body = lists_body (id, version, customers);
   call (f, "PUT", "/v1/lists", body);
   free (body);
   return f->code;
@@ -189,14 +189,17 @@
   struct fixture f;
   (void)state;
   open_fixture (&f, NULL);
-  assert_int_equal (put (&f, "e1", 0, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"), 200);
+  assert_int_equal (put_lists (&f, "e1", 0, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"),
+                    200);
   assert_int_equal (number (&f, "version"), 1);
-  assert_int_equal (put (&f, "e2", 0, "{\"customers\":[]}"), 409);
+  assert_int_equal (put_lists (&f, "e2", 0, "{\"customers\":[]}"), 409);
   assert_string_equal (text (&f, "error"), "version-conflict");
   assert_int_equal (number (&f, "version"), 1);
-  assert_int_equal (put (&f, "e1", 0, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"), 200);
+  assert_int_equal (put_lists (&f, "e1", 0, "{\"customers\":[{\"id\":\"c\",\"plan\":\"p\"}]}"),
+                    200);
   assert_int_equal (f.proposer.proposals, 3);
-  assert_int_equal (put (&f, "e3", 1, "{\"customers\":[{\"id\":\"c\",\"plan\":\"q\"}]}"), 422);
+  assert_int_equal (put_lists (&f, "e3", 1, "{\"customers\":[{\"id\":\"c\",\"plan\":\"q\"}]}"),
+                    422);
   assert_string_equal (text (&f, "error"), "invalid-list");
   assert_int_equal (json_array_size (json_object_get (f.body, "faults")), 1);
   assert_int_equal (f.proposer.proposals, 3);
@@ -276,7 +279,7 @@
     {
       f.token = wrong[i];
       assert_int_equal (call (&f, "GET", "/v1/state", NULL), 401);
-      assert_int_equal (put (&f, "e", 0, "{\"customers\":[]}"), 401);
+      assert_int_equal (put_lists (&f, "e", 0, "{\"customers\":[]}"), 401);
     }
   assert_int_equal (f.proposer.proposals, 0);
   f.token = "secret";
@@ -291,13 +294,13 @@
   (void)state;
   open_fixture (&f, NULL);
   f.proposer.fail = STATUS_NO_QUORUM;
-  assert_int_equal (put (&f, "e1", 0, "{\"customers\":[]}"), 503);
+  assert_int_equal (put_lists (&f, "e1", 0, "{\"customers\":[]}"), 503);
   assert_string_equal (text (&f, "ran"), "no");
   f.proposer.fail = STATUS_OUTCOME_UNKNOWN;
-  assert_int_equal (put (&f, "e1", 0, "{\"customers\":[]}"), 504);
+  assert_int_equal (put_lists (&f, "e1", 0, "{\"customers\":[]}"), 504);
   assert_string_equal (text (&f, "ran"), "unknown");
   f.proposer.fail = STATUS_OK;
-  assert_int_equal (put (&f, "e1", 0, "{\"customers\":[]}"), 200);
+  assert_int_equal (put_lists (&f, "e1", 0, "{\"customers\":[]}"), 200);
   assert_int_equal (number (&f, "version"), 1);
   close_fixture (&f);
 }
@@ -321,7 +324,7 @@
 {
   static const char *const paths[] = { "/v1/data-centres/a/out", "/v1/members", "/v1/drain",
                                        "/v1/members/a1/replace", "/v1/data-centres/a/close-epoch" };
-  static const char good[]
+  static const char valid[]
       = "{\"request_id\":\"m\",\"epoch\":1,\"vm\":\"a\",\"member\":" MEMBER "}";
   struct fixture f;
   struct rng rng;
@@ -330,8 +333,8 @@
   rng_init (&rng, 17);
   for (int i = 0; i < FUZZ_ROUNDS; i++)
     {
-      char body[sizeof good];
-      memcpy (body, good, sizeof body);
+      char body[sizeof valid];
+      memcpy (body, valid, sizeof body);
       for (uint64_t k = 0; k <= rng_below (&rng, 8); k++)
         body[rng_below (&rng, sizeof body - 1)] = (char)rng_next (&rng);
       size_t len = rng_chance (&rng, 0.7) ? sizeof body - 1 : (size_t)rng_below (&rng, sizeof body);
