--- a/src/edge/proposal_router.c
+++ b/src/edge/proposal_router.c
@@ -7,9 +7,9 @@
 #include "counters.h"
 #include "home_cell.h"
 
-#define ATTEMPT_LIFE_MS 4000 /* shorter than the default timeout of sassafrasctl */
+#define PROPOSAL_TIMEOUT_MS 4000 /* below the default timeout of sassafrasctl */
 #define CALL_TIMEOUT_MS 2000
-#define RETRY_MS 50
+#define RETRY_INTERVAL_MS 50
 
 struct local_group
 {
@@ -19,8 +19,8 @@
   void *prepare_arg;
 };
 
-/* One proposal until its outcome is known.  */
-struct attempt
+/* Proposal whose outcome is not known yet.  */
+struct proposal
 {
   struct proposal_router *router;
   uint64_t group;
@@ -28,11 +28,11 @@
   propose_done *done;
   void *arg;
   int64_t deadline_ms;
-  int64_t retry_ms;   /* when to send again; valid while waiting */
-  bool waiting;       /* for the retry time, not for an answer */
-  uint64_t hint;      /* leader named by a refusal, 0 when none */
-  unsigned candidate; /* next voter to try when no leader is known */
-  TAILQ_ENTRY (attempt) link;
+  int64_t retry_ms;     /* time of the next attempt; valid if retry_pending */
+  bool retry_pending;   /* waits for retry_ms rather than for an answer */
+  uint64_t leader_hint; /* leader named by a refusal; 0 if none */
+  unsigned voter_index; /* next voter to try if no leader is known */
+  TAILQ_ENTRY (proposal) link;
 };
 
 struct proposal_router
@@ -41,7 +41,7 @@
   struct proposal_router_config config;
   struct local_group groups[PROPOSAL_MAX_GROUPS];
   size_t group_count;
-  TAILQ_HEAD (attempt_list, attempt) attempts;
+  TAILQ_HEAD (proposal_list, proposal) proposals;
 };
 
 static struct counter forwarded = { .name = "sassafras_proposals_forwarded_total",
@@ -49,10 +49,10 @@
 static struct counter refused = { .name = "sassafras_proposals_refused_total",
                                   .help = "Forwarded commands refused because this VM does not "
                                           "lead the group." };
-static struct counter given_up = { .name = "sassafras_proposals_not_accepted_total",
-                                   .help = "Commands for which no leader was found in time." };
+static struct counter abandoned = { .name = "sassafras_proposals_not_accepted_total",
+                                    .help = "Commands for which no leader was found in time." };
 
-static void send_attempt (struct attempt *a);
+static void send_proposal (struct proposal *p);
 
 static struct local_group *
 find_group (struct proposal_router *r, uint64_t id)
@@ -64,22 +64,22 @@
 }
 
 static void
-finish (struct attempt *a, const struct status *st, const void *result, size_t len)
+finish_proposal (struct proposal *p, const struct status *st, const void *result, size_t len)
 {
-  TAILQ_REMOVE (&a->router->attempts, a, link);
-  a->done (a->arg, st, result, len);
-  buffer_close (&a->command);
-  free (a);
+  TAILQ_REMOVE (&p->router->proposals, p, link);
+  p->done (p->arg, st, result, len);
+  buffer_close (&p->command);
+  free (p);
 }
 
 static void
-retry_later (struct attempt *a, int64_t delay_ms)
+retry_later (struct proposal *p, int64_t delay_ms)
 {
-  a->waiting = true;
-  a->retry_ms = clock_now_ms (a->router->config.clock) + delay_ms;
+  p->retry_pending = true;
+  p->retry_ms = clock_now_ms (p->router->config.clock) + delay_ms;
 }
 
-/* True when a command with this outcome was surely not accepted and may be sent again.  */
+/* True if a command with this outcome was definitely not accepted and may be sent again.  */
 static bool
 not_accepted (enum status_kind kind)
 {
@@ -90,120 +90,120 @@
 static void
 on_local_done (void *arg, const struct status *st, const void *result, size_t len)
 {
-  struct attempt *a = arg;
+  struct proposal *p = arg;
   if (not_accepted (st->kind))
-    retry_later (a, RETRY_MS);
+    retry_later (p, RETRY_INTERVAL_MS);
   else
-    finish (a, st, result, len);
+    finish_proposal (p, st, result, len);
 }
 
 static void
 on_remote_done (void *arg, const struct status *st, const propose_reply *reply)
 {
-  struct attempt *a = arg;
+  struct proposal *p = arg;
   struct status outcome;
   if (!status_ok (st))
     {
       if (not_accepted (st->kind))
         {
-          a->hint = 0;
-          retry_later (a, RETRY_MS);
+          p->leader_hint = 0;
+          retry_later (p, RETRY_INTERVAL_MS);
         }
       else
-        finish (a, st, NULL, 0);
+        finish_proposal (p, st, NULL, 0);
       return;
     }
   if (not_accepted ((enum status_kind)reply->status))
     {
-      bool better = reply->leader != 0 && reply->leader != a->hint;
-      a->hint = reply->leader;
-      retry_later (a, better ? 0 : RETRY_MS);
+      bool new_hint = reply->leader != 0 && reply->leader != p->leader_hint;
+      p->leader_hint = reply->leader;
+      retry_later (p, new_hint ? 0 : RETRY_INTERVAL_MS);
       return;
     }
   status_clear (&outcome);
   if (reply->status != STATUS_OK)
     status_set (&outcome, (enum status_kind)reply->status, "%s", reply->message);
-  finish (a, &outcome, reply->result.result_val, reply->result.result_len);
+  finish_proposal (p, &outcome, reply->result.result_val, reply->result.result_len);
 }
 
-/* The next voter of a group to try when its leader is not known; 0 when there is none.  */
+/* Next voter of a group to try if its leader is not known; 0 if there is none.  */
 static uint64_t
-next_candidate (struct attempt *a)
+next_candidate (struct proposal *p)
 {
   const registry_member *all;
-  size_t n = registry_members (a->router->config.registry, &all);
-  const char *dc = cell_data_centre_name (a->router->config.registry, a->group);
+  size_t n = registry_members (p->router->config.registry, &all);
+  const char *dc = cell_data_centre_name (p->router->config.registry, p->group);
   for (size_t tries = 0; tries < n; tries++)
     {
-      const registry_member *m = &all[a->candidate++ % n];
+      const registry_member *m = &all[p->voter_index++ % n];
       bool voter
-          = a->group == REGISTRY_GROUP ? m->registry_voter : dc && member_votes_in_cell (m, dc);
-      if (voter && m->node != a->router->config.node)
+          = p->group == REGISTRY_GROUP ? m->registry_voter : dc && member_votes_in_cell (m, dc);
+      if (voter && m->node != p->router->config.node)
         return m->node;
     }
   return 0;
 }
 
 static uint64_t
-choose_target (struct attempt *a, const struct local_group *local)
+choose_target (struct proposal *p, const struct local_group *local)
 {
-  if (a->hint && a->hint != a->router->config.node)
-    return a->hint;
+  if (p->leader_hint && p->leader_hint != p->router->config.node)
+    return p->leader_hint;
   uint64_t leader = local ? group_leader_node (local->group) : 0;
-  if (leader && leader != a->router->config.node)
+  if (leader && leader != p->router->config.node)
     return leader;
-  return local ? 0 : next_candidate (a);
+  return local ? 0 : next_candidate (p);
 }
 
 static void
-propose_local (struct attempt *a, struct local_group *local)
+propose_local (struct proposal *p, struct local_group *local)
 {
   struct status st;
   status_clear (&st);
-  if (local->prepare (local->prepare_arg, a->command.data, a->command.len, &st) < 0)
-    finish (a, &st, NULL, 0);
+  if (local->prepare (local->prepare_arg, p->command.data, p->command.len, &st) < 0)
+    finish_proposal (p, &st, NULL, 0);
   else
-    group_propose (local->group, a->command.data, a->command.len, on_local_done, a);
+    group_propose (local->group, p->command.data, p->command.len, on_local_done, p);
 }
 
 static void
-send_attempt (struct attempt *a)
+send_proposal (struct proposal *p)
 {
-  struct proposal_router *r = a->router;
-  struct local_group *local = find_group (r, a->group);
-  a->waiting = false;
+  struct proposal_router *r = p->router;
+  struct local_group *local = find_group (r, p->group);
+  p->retry_pending = false;
   if (local && group_is_leader (local->group))
     {
-      propose_local (a, local);
+      propose_local (p, local);
       return;
     }
-  uint64_t target = choose_target (a, local);
+  uint64_t target = choose_target (p, local);
   if (target == 0 || !r->config.net)
     {
-      retry_later (a, RETRY_MS);
+      retry_later (p, RETRY_INTERVAL_MS);
       return;
     }
   counter_add (&forwarded, 1);
   const propose_args args
-      = { .group = a->group,
-          .command = { .command_len = (u_int)a->command.len, .command_val = a->command.data } };
-  peer_call_propose (r->config.net, target, &args, CALL_TIMEOUT_MS, on_remote_done, a);
+      = { .group = p->group,
+          .command = { .command_len = (u_int)p->command.len, .command_val = p->command.data } };
+  peer_call_propose (r->config.net, target, &args, CALL_TIMEOUT_MS, on_remote_done, p);
 }
 
 static void
-propose (struct proposer *p, uint64_t group, const void *command, size_t len, propose_done *done,
-         void *arg)
+propose (struct proposer *proposer, uint64_t group, const void *command, size_t len,
+         propose_done *done, void *arg)
 {
-  struct proposal_router *r = (struct proposal_router *)p;
-  struct attempt *a = xcalloc (1, sizeof *a);
-  a->router = r;
-  a->group = group;
-  buffer_append (&a->command, command, len);
-  a->done = done;
-  a->arg = arg;
-  a->deadline_ms = clock_now_ms (r->config.clock) + ATTEMPT_LIFE_MS;
-  TAILQ_INSERT_TAIL (&r->attempts, a, link);
-  send_attempt (a);
+  struct proposal_router *r = (struct proposal_router *)proposer;
+  struct proposal *p = xcalloc (1, sizeof *p);
+  p->router = r;
+  p->group = group;
+  buffer_append (&p->command, command, len);
+  p->done = done;
+  p->arg = arg;
+  p->deadline_ms = clock_now_ms (r->config.clock) + PROPOSAL_TIMEOUT_MS;
+  TAILQ_INSERT_TAIL (&r->proposals, p, link);
+  send_proposal (p);
 }
 
 static const struct proposer_ops ops = { .propose = propose };
@@ -214,21 +214,21 @@
   struct proposal_router *r = xcalloc (1, sizeof *r);
   r->proposer.ops = &ops;
   r->config = *config;
-  TAILQ_INIT (&r->attempts);
+  TAILQ_INIT (&r->proposals);
   return r;
 }
 
 void
 proposal_router_close (struct proposal_router *r)
 {
-  struct attempt *a;
+  struct proposal *p;
   if (!r)
     return;
-  while ((a = TAILQ_FIRST (&r->attempts)))
+  while ((p = TAILQ_FIRST (&r->proposals)))
     {
-      TAILQ_REMOVE (&r->attempts, a, link);
-      buffer_close (&a->command);
-      free (a);
+      TAILQ_REMOVE (&r->proposals, p, link);
+      buffer_close (&p->command);
+      free (p);
     }
   free (r);
 }
@@ -296,27 +296,27 @@
 }
 
 static void
-give_up (struct attempt *a)
+abandon (struct proposal *p)
 {
   struct status st;
-  counter_add (&given_up, 1);
+  counter_add (&abandoned, 1);
   status_set (&st, STATUS_NO_QUORUM, "not accepted: no leader of group %llu within %d ms",
-              (unsigned long long)a->group, ATTEMPT_LIFE_MS);
-  finish (a, &st, NULL, 0);
+              (unsigned long long)p->group, PROPOSAL_TIMEOUT_MS);
+  finish_proposal (p, &st, NULL, 0);
 }
 
 void
 proposal_router_tick (struct proposal_router *r, int64_t now_ms)
 {
-  struct attempt *next;
-  for (struct attempt *a = TAILQ_FIRST (&r->attempts); a; a = next)
+  struct proposal *next;
+  for (struct proposal *p = TAILQ_FIRST (&r->proposals); p; p = next)
     {
-      next = TAILQ_NEXT (a, link);
-      if (!a->waiting)
+      next = TAILQ_NEXT (p, link);
+      if (!p->retry_pending)
         continue;
-      if (now_ms >= a->deadline_ms)
-        give_up (a);
-      else if (now_ms >= a->retry_ms)
-        send_attempt (a);
+      if (now_ms >= p->deadline_ms)
+        abandon (p);
+      else if (now_ms >= p->retry_ms)
+        send_proposal (p);
     }
 }
