--- a/ctl/main.c
+++ b/ctl/main.c
@@ -204,9 +204,9 @@
   c->customer = f->customer->count > 0 ? f->customer->sval[0] : NULL;
   c->data_centre = f->data_centre->count > 0 ? f->data_centre->sval[0] : NULL;
   if (c->customer && !json_name_valid (c->customer))
-    return ctl_usage_error (c, "--customer: '%s' is not a valid name", c->customer);
+    return ctl_usage_error (c, "--customer: '%s' is invalid", c->customer);
   if (c->data_centre && !json_name_valid (c->data_centre))
-    return ctl_usage_error (c, "--data-centre: '%s' is not a valid name", c->data_centre);
+    return ctl_usage_error (c, "--data-centre: '%s' is invalid", c->data_centre);
   c->limit = DEFAULT_LIMIT;
   if (f->limit->count > 0 && read_number (f->limit->sval[0], 1, MAX_LIMIT, &c->limit) < 0)
     return ctl_usage_error (c, "--limit: '%s' is out of range, allowed: 1 to %d", f->limit->sval[0],
