--- a/src/edge/operator_api_places.c
+++ b/src/edge/operator_api_topology.c
@@ -6,7 +6,7 @@
 #include "operator_api_internal.h"
 
 static const char *
-in_force_name (registry_in_force_reason reason)
+in_force_reason_name (registry_in_force_reason reason)
 {
   if (reason == REGISTRY_ACKNOWLEDGED)
     return "acknowledged";
@@ -14,7 +14,7 @@
 }
 
 static int64_t
-here_since (const struct operator_api *api, const registry_data_centre *dc)
+local_since_ms (const struct operator_api *api, const registry_data_centre *dc)
 {
   for (size_t i = 0; i < api->data_centre_count; i++)
     if (strcmp (api->data_centres[i].name, dc->name) == 0)
@@ -25,12 +25,12 @@
 json_t *
 api_data_centre_json (const struct operator_api *api, const registry_data_centre *dc)
 {
-  const char *reason = in_force_name (dc->in_force);
+  const char *reason = in_force_reason_name (dc->in_force);
   json_t *body = json_pack (
       "{s:s, s:s, s:s, s:I, s:I, s:I, s:I, s:I}", "data_centre", dc->name, "region", dc->region,
       "state", dc->out ? "out" : "in", "version", (json_int_t)dc->state_version, "since_ms",
       (json_int_t)dc->since_ms, "epoch", (json_int_t)dc->epoch, "epoch_since_ms",
-      (json_int_t)dc->epoch_since_ms, "here_since_ms", (json_int_t)here_since (api, dc));
+      (json_int_t)dc->epoch_since_ms, "here_since_ms", (json_int_t)local_since_ms (api, dc));
   if (!dc->out)
     return body;
   json_object_set_new (body, "in_force_at_ms",
@@ -75,8 +75,8 @@
     json_object_set_new (answer, "state", json_string ("in"));
 }
 
-/* Adds when the command is in force: since a known time, or at the latest 3 s after it was accepted
-   as long as the registry keeps its leader.  This VM may not have applied the command yet.  */
+/* Adds the time at which the command is in force, or null, and the latest time for it: 3 s after
+   acceptance if the registry keeps its leader.  This VM may not have applied the command yet.  */
 static void
 render_out (struct operator_api *api, const registry_result *result, const char *subject,
             json_t *answer)
@@ -87,7 +87,7 @@
   if (result->status != STATUS_OK)
     return;
   if (dc && dc->out && dc->state_version == result->current)
-    reason = in_force_name (dc->in_force);
+    reason = in_force_reason_name (dc->in_force);
   json_object_set_new (answer, "state", json_string ("out"));
   json_object_set_new (answer, "in_force_at_ms",
                        reason ? json_integer (dc->in_force_ms) : json_null ());
@@ -189,7 +189,7 @@
     json_object_set_new (answer, "node", json_integer ((json_int_t)result->node));
 }
 
-/* Reads the member of the body; faults carry the path inside the member.  */
+/* Reads the member from the body; the paths of its faults are relative to the member.  */
 static bool
 read_member (struct api_body *b, registry_member *out)
 {
@@ -210,7 +210,8 @@
   registry_member member = { 0 };
   if (api_body_open (&b, req, fields) == 0 && read_member (&b, &member) && replace
       && strcmp (member.vm, subject) != 0)
-    json_check_fault_at (&b.check, "member", "is VM '%s', the path names '%s'", member.vm, subject);
+    json_check_fault_at (&b.check, "member", "names VM '%s', but the path names '%s'", member.vm,
+                         subject);
   if (api_body_finish (&b, req, STATUS_BAD_REQUEST))
     {
       registry_command command = { .request_id = b.request_id };
