--- a/src/base/incarnation.c
+++ b/src/base/incarnation.c
@@ -51,7 +51,7 @@
 }
 
 int
-incarnation_take (const char *data_dir, uint64_t *out, struct status *st)
+incarnation_next (const char *data_dir, uint64_t *out, struct status *st)
 {
   char path[PATH_BYTES];
   *out = (uint64_t)clock_wall_ms ();
--- a/src/base/incarnation.h
+++ b/src/base/incarnation.h
@@ -11,7 +11,7 @@
 
 #include "status.h"
 
-int incarnation_take (const char *data_dir, uint64_t *out,
+int incarnation_next (const char *data_dir, uint64_t *out,
                       struct status *st); /* DATA_DIR "": no disk. -1 when it can't be stored. */
 
 #endif
--- a/src/base/json_check.h
+++ b/src/base/json_check.h
@@ -52,7 +52,7 @@
 
 /* Where the last fault was found: element INDEX of the array that is member KEY of the root.  The
    next one is usually behind it, so the text is walked once and not once per fault.  */
-struct json_place
+struct json_position
 {
   const char *key; /* NULL: none yet */
   size_t index;
@@ -67,7 +67,7 @@
   struct json_faults *faults;
   struct json_step steps[JSON_PATH_DEPTH];
   size_t depth;
-  struct json_place last;
+  struct json_position last;
 };
 
 json_t *json_check_load (struct json_check *c, const struct json_source *source,
@@ -93,7 +93,7 @@
                                size_t limit); /* Required string under LIMIT bytes, or NULL. */
 bool json_name_valid (const char *name);      /* 1 to 63 letters, digits, '.', '_', '-'. */
 int json_locate (const char *text, size_t len, const struct json_step *steps, size_t depth,
-                 struct json_place *last); /* Line of a value in valid JSON; LAST may be NULL. */
+                 struct json_position *last); /* Line of a value in valid JSON; LAST may be NULL. */
 void json_faults_close (struct json_faults *faults); /* Frees the list. */
 void json_faults_write (const struct json_faults *faults,
                         struct buffer *out); /* One line per fault: file:line: path: reason. */
--- a/src/base/json_locate.c
+++ b/src/base/json_locate.c
@@ -145,7 +145,7 @@
 
 /* True when the path leads to the element of LAST or to one behind it.  */
 static bool
-starts_at (const struct json_place *last, const struct json_step *steps, size_t depth)
+starts_at (const struct json_position *last, const struct json_step *steps, size_t depth)
 {
   return last && last->key && depth >= 2 && steps[0].key && !steps[1].key
          && strcmp (steps[0].key, last->key) == 0 && steps[1].index >= last->index;
@@ -153,14 +153,14 @@
 
 /* Goes from LAST to the element that the first two steps name.  */
 static bool
-resume (struct cursor *c, struct json_place *last, const struct json_step *steps)
+resume (struct cursor *c, struct json_position *last, const struct json_step *steps)
 {
   c->at = last->at;
   return skip_elements (c, steps[1].index - last->index) && c->at < c->len;
 }
 
 static void
-remember (struct json_place *last, const struct json_step *steps, size_t at, int line)
+remember (struct json_position *last, const struct json_step *steps, size_t at, int line)
 {
   last->key = steps[0].key;
   last->index = steps[1].index;
@@ -171,7 +171,7 @@
 /* The line of the deepest part of the path that exists.  */
 int
 json_locate (const char *text, size_t len, const struct json_step *steps, size_t depth,
-             struct json_place *last)
+             struct json_position *last)
 {
   struct cursor c = { text, len, 0 };
   size_t from = 0;
--- a/src/edge/daemon.c
+++ b/src/edge/daemon.c
@@ -180,7 +180,7 @@
   open_registry (d);
   if (!d->self)
     status_set (st, STATUS_INVALID_SETTING, "vm '%s' is not in the members file", settings->vm);
-  if (!d->self || incarnation_take (settings->data_dir, &d->incarnation, st) < 0
+  if (!d->self || incarnation_next (settings->data_dir, &d->incarnation, st) < 0
       || daemon_open_requests (d, st) < 0 || daemon_open_http (d, st) < 0
       || daemon_open_peers (d, st) < 0)
     {
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -94,7 +94,7 @@
 }
 
 void
-http_loop_kick (struct http_loop *hl)
+http_loop_wake (struct http_loop *hl)
 {
   hl->kicked = true;
 }
@@ -308,7 +308,7 @@
     return;
   req->suspended = false;
   MHD_resume_connection (req->connection);
-  http_loop_kick (req->server->http_loop);
+  http_loop_wake (req->server->http_loop);
 }
 
 void
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -50,7 +50,7 @@
 
 struct http_loop *http_loop_open (struct ev_loop *loop,
                                   struct MHD_Daemon *daemon); /* Watches DAEMON on LOOP. */
-void http_loop_kick (struct http_loop *hl);  /* Runs the daemon before the loop next blocks. */
+void http_loop_wake (struct http_loop *hl);  /* Runs the daemon before the loop next blocks. */
 void http_loop_close (struct http_loop *hl); /* Stops watching; does not stop the daemon. */
 
 struct http_server *http_server_open (struct ev_loop *loop, const struct http_server_config *config,
--- a/src/request/proxy.c
+++ b/src/request/proxy.c
@@ -242,7 +242,7 @@
       c->receive_closed = true;
       shutdown (c->fd, SHUT_RD);
     }
-  http_loop_kick (p->http_loop);
+  http_loop_wake (p->http_loop);
   proxy_check_drained (p);
 }
 
--- a/src/request/proxy_caller.c
+++ b/src/request/proxy_caller.c
@@ -82,7 +82,7 @@
   ev_io_stop (call->proxy->loop, &call->disconnect_watch);
   MHD_resume_connection (call->connection);
   if (call->proxy->http_loop)
-    http_loop_kick (call->proxy->http_loop);
+    http_loop_wake (call->proxy->http_loop);
 }
 
 void
--- a/src/workflow/seeded_group.c
+++ b/src/workflow/seeded_group.c
@@ -216,7 +216,7 @@
     seed = (uint64_t)clock_wall_ms () ^ s->node;
   rng_init (&s->rng, seed);
   if (make_folder (config->data_dir, st) < 0
-      || incarnation_take (config->data_dir, &s->incarnation, st) < 0 || open_net (s, st) < 0
+      || incarnation_next (config->data_dir, &s->incarnation, st) < 0 || open_net (s, st) < 0
       || open_group (s, st) < 0)
     {
       seeded_group_close (s);
--- a/tests/test_incarnation.c
+++ b/tests/test_incarnation.c
@@ -28,16 +28,16 @@
   FILE *f = fopen (path, "w");
   fprintf (f, "%lld\n", (long long)FUTURE_MS);
   fclose (f);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_int_equal (incarnation, FUTURE_MS + 1);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_int_equal (incarnation, FUTURE_MS + 2);
   unlink (path);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_true (incarnation < FUTURE_MS);
   unlink (path);
   rmdir (folder);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), -1);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), -1);
   assert_int_equal (st.kind, STATUS_DISK_FAILED);
 }
 
--- a/tests/test_plans.c
+++ b/tests/test_plans.c
@@ -277,7 +277,7 @@
   static const char doc[] = "{\"a\": [1,\n {\"x\": [\n2], \"y\":\n3}\n, \"]\\\"\",\n{\"y\": 1}],"
                             "\n\"b\":\n[\n[],\n{\"x\":\n1}]}";
   static const char *const keys[] = { "a", "b", "c" };
-  struct json_place last = { 0 };
+  struct json_position last = { 0 };
   struct rng rng;
   (void)state;
   rng_init (&rng, 4);
@@ -288,7 +288,7 @@
                                     { NULL, (size_t)rng_below (&rng, 5) },
                                     { rng_chance (&rng, 0.5) ? "x" : "y", 0 } };
       size_t depth = (size_t)rng_below (&rng, 4);
-      struct json_place *place = len == sizeof doc - 1 ? &last : NULL;
+      struct json_position *place = len == sizeof doc - 1 ? &last : NULL;
       assert_int_equal (json_locate (doc, len, steps, depth, place),
                         json_locate (doc, len, steps, depth, NULL));
     }
