--- a/src/gen/peer_proto.x
+++ b/src/gen/peer_proto.x
@@ -1,4 +1,4 @@
-/* Messages between the daemons.  Every string and array is bounded here; the codec refuses more. */
+/* Messages between the daemons.  The codec enforces the bounds of strings and arrays. */
 
 const PEER_NAME_BYTES = 64;
 const PEER_ENTRY_BYTES = 1048576;
@@ -14,16 +14,16 @@
 
 typedef string peer_name<PEER_NAME_BYTES>;
 
-/* First call on every connection.  A stranger, another deployment or an earlier incarnation of a
-   VM is refused.  */
+/* First call on every connection.  Refused for an unknown VM, another deployment or an earlier
+   incarnation of a VM.  */
 struct peer_hello
 {
   peer_name deployment;
   peer_name vm;
   peer_name data_centre;
   unsigned hyper node;        /* member id of this VM; changes when its disk is replaced */
-  unsigned hyper incarnation; /* grows with every start of the process */
-  bool initialized;           /* the sender holds state of its groups; false on an empty disk */
+  unsigned hyper incarnation; /* increases with every start of the process */
+  bool initialized;           /* the sender has state of its groups; false on an empty disk */
 };
 
 enum raft_message_type
@@ -49,8 +49,8 @@
 struct raft_member
 {
   unsigned hyper node;
-  bool voter;           /* a learner when false */
-  unsigned hyper store; /* id of the store that may vote for this member */
+  bool voter;           /* false: a learner */
+  unsigned hyper store; /* id of the store that is allowed to vote for this member */
 };
 
 struct raft_members
@@ -78,8 +78,8 @@
   unsigned hyper commit;
   bool granted;             /* replies: vote granted, append accepted, chunk stored */
   unsigned hyper round;     /* read-index and check-quorum round, echoed in replies */
-  unsigned int stream;      /* appends: grows with each rejection acted on; echoed in replies */
-  unsigned hyper store;     /* vote requests: store the candidate expects; replies: the sender's */
+  unsigned int stream;      /* appends: incremented per handled rejection; echoed in replies */
+  unsigned hyper store;     /* vote requests: expected store; replies: the sender's store */
   raft_entry entries<PEER_MAX_ENTRIES>;
   unsigned hyper chunk_offset;
   unsigned hyper chunk_total;
@@ -87,7 +87,7 @@
   opaque chunk<PEER_CHUNK_BYTES>;
 };
 
-/* A command for the leader of a group, forwarded by the VM that received it.  */
+/* A command forwarded to the leader of a group by the VM that received it.  */
 struct propose_args
 {
   unsigned hyper group;
@@ -98,11 +98,11 @@
 {
   unsigned int status;      /* enum status_kind */
   string message<PEER_MESSAGE_BYTES>;
-  unsigned hyper leader;    /* node the sender believes leads, 0 when unknown */
+  unsigned hyper leader;    /* leader as known to the sender, 0 when unknown */
   opaque result<PEER_COMMAND_BYTES>;
 };
 
-/* What one cell can still take, carried with its permit request.  */
+/* Free capacity of one cell, sent with its permit request.  */
 struct cell_capacity
 {
   peer_name data_centre;
@@ -123,7 +123,7 @@
 {
   bool granted;
   unsigned hyper asked;
-  unsigned int life_ms;     /* counted by the receiver from when it asked */
+  unsigned int life_ms;     /* counted by the receiver from its request */
   unsigned hyper cell_epoch;
   cell_capacity cells<PEER_MAX_CELLS>;
 };
@@ -141,8 +141,8 @@
   bool departing;
 };
 
-/* Limits of one customer: what the sender lends the receiver of its own part, for 2 s from echo, and
-   whether the sender would borrow.  */
+/* Limits of one customer: how much of its equal share the sender lends to the receiver, for 2 s
+   from echo, and whether the sender wants to borrow.  */
 struct customer_usage
 {
   peer_name customer;
@@ -152,24 +152,24 @@
   bool wants_rate;
 };
 
-/* All runners that announced to the sender.  An unchanged version with no runners renews them all. */
+/* All runners announced to the sender.  An unchanged version without runners renews all of them. */
 struct runner_digest
 {
   unsigned hyper table_version;
-  bool full;                /* runners is the whole table at this version */
+  bool full;                /* runners is the complete table at this version */
   unsigned hyper base_version;
-  unsigned hyper echo;      /* asked of the receiver's last reply, 0 for none; lifetimes count from it */
+  unsigned hyper echo;      /* asked of the receiver's last reply, 0 if none; start of lifetimes */
   runner_entry runners<PEER_MAX_RUNNERS>;
   customer_usage usage<PEER_MAX_CUSTOMERS>;
 };
 
 struct runner_digest_reply
 {
-  unsigned hyper table_version;   /* what the receiver now holds; a mismatch asks for the full table */
+  unsigned hyper table_version;   /* version the receiver has; a mismatch requests the full table */
   unsigned hyper asked;           /* the receiver's clock, echoed by the next digest */
 };
 
-/* Orders to workers that the receiver is to call, or their outcomes: see orders_proto.x.  */
+/* Orders to workers that the receiver calls, or their outcomes: see orders_proto.x.  */
 struct peer_orders
 {
   opaque data<PEER_ORDERS_BYTES>;
--- a/src/net/http_client.c
+++ b/src/net/http_client.c
@@ -6,12 +6,12 @@
 
 #define CONNECT_TIMEOUT_MS 1000L
 
-struct easy_run
+struct transfer
 {
   http_easy_done *done;
   void *arg;
   CURL *easy;
-  LIST_ENTRY (easy_run) link;
+  LIST_ENTRY (transfer) link;
 };
 
 struct http_client
@@ -19,11 +19,11 @@
   struct ev_loop *loop;
   CURLM *multi;
   ev_timer timer;
-  LIST_HEAD (easy_run_list, easy_run) runs;
+  LIST_HEAD (transfer_list, transfer) transfers;
   bool closing;
 };
 
-/* One exchange of http_client_send.  */
+/* A request of http_client_send and its answer.  */
 struct exchange
 {
   struct http_call call;
@@ -44,17 +44,17 @@
   int left;
   while ((message = curl_multi_info_read (client->multi, &left)))
     {
-      struct easy_run *run;
+      struct transfer *transfer;
       if (message->msg != CURLMSG_DONE)
         continue;
       CURL *easy = message->easy_handle;
       CURLcode result = message->data.result;
-      curl_easy_getinfo (easy, CURLINFO_PRIVATE, &run);
-      http_easy_done *done = run->done;
-      void *arg = run->arg;
+      curl_easy_getinfo (easy, CURLINFO_PRIVATE, &transfer);
+      http_easy_done *done = transfer->done;
+      void *arg = transfer->arg;
       curl_multi_remove_handle (client->multi, easy);
-      LIST_REMOVE (run, link);
-      free (run);
+      LIST_REMOVE (transfer, link);
+      free (transfer);
       done (arg, easy, result);
     }
 }
@@ -131,7 +131,7 @@
   struct http_client *client = xcalloc (1, sizeof *client);
   client->loop = loop;
   client->multi = curl_multi_init ();
-  LIST_INIT (&client->runs);
+  LIST_INIT (&client->transfers);
   ev_timer_init (&client->timer, on_timer, 0.0, 0.0);
   client->timer.data = client;
   curl_multi_setopt (client->multi, CURLMOPT_SOCKETFUNCTION, watch_socket);
@@ -158,23 +158,23 @@
 void
 http_client_add (struct http_client *client, CURL *easy, http_easy_done *done, void *arg)
 {
-  struct easy_run *run = xcalloc (1, sizeof *run);
-  run->done = done;
-  run->arg = arg;
-  run->easy = easy;
-  LIST_INSERT_HEAD (&client->runs, run, link);
-  curl_easy_setopt (easy, CURLOPT_PRIVATE, run);
+  struct transfer *transfer = xcalloc (1, sizeof *transfer);
+  transfer->done = done;
+  transfer->arg = arg;
+  transfer->easy = easy;
+  LIST_INSERT_HEAD (&client->transfers, transfer, link);
+  curl_easy_setopt (easy, CURLOPT_PRIVATE, transfer);
   curl_multi_add_handle (client->multi, easy);
 }
 
 void
 http_client_remove (struct http_client *client, CURL *easy)
 {
-  struct easy_run *run;
-  curl_easy_getinfo (easy, CURLINFO_PRIVATE, &run);
+  struct transfer *transfer;
+  curl_easy_getinfo (easy, CURLINFO_PRIVATE, &transfer);
   curl_multi_remove_handle (client->multi, easy);
-  LIST_REMOVE (run, link);
-  free (run);
+  LIST_REMOVE (transfer, link);
+  free (transfer);
 }
 
 static size_t
@@ -250,26 +250,26 @@
 }
 
 static void
-drop_run (struct http_client *client, struct easy_run *run)
+cancel_transfer (struct http_client *client, struct transfer *transfer)
 {
-  CURL *easy = run->easy;
-  bool collected = run->done == on_exchange_done;
-  void *arg = run->arg;
+  CURL *easy = transfer->easy;
+  bool is_exchange = transfer->done == on_exchange_done;
+  void *arg = transfer->arg;
   curl_multi_remove_handle (client->multi, easy);
-  LIST_REMOVE (run, link);
-  free (run);
-  if (collected)
+  LIST_REMOVE (transfer, link);
+  free (transfer);
+  if (is_exchange)
     free_exchange (arg, easy);
 }
 
 void
 http_client_close (struct http_client *client)
 {
-  struct easy_run *run;
+  struct transfer *transfer;
   if (!client)
     return;
-  while ((run = LIST_FIRST (&client->runs)))
-    drop_run (client, run);
+  while ((transfer = LIST_FIRST (&client->transfers)))
+    cancel_transfer (client, transfer);
   curl_multi_cleanup (client->multi);
   ev_timer_stop (client->loop, &client->timer);
   free (client);
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,8 +1,8 @@
-/* http_client: libcurl multi on the libev loop.
+/* http_client: HTTP client on libcurl's multi interface, driven by the libev loop.
 
-   One client per purpose, so that connection limits stay separate.  http_client_send is for small
-   requests whose whole answer is collected; the proxy builds its own easy handles and runs them
-   with http_client_add.  */
+   Each purpose has a client of its own, so that connection limits stay separate.  http_client_send
+   is for small requests and buffers the complete answer; the proxy creates its own easy handles and
+   runs them with http_client_add.  */
 
 #ifndef SASSAFRAS_HTTP_CLIENT_H
 #define SASSAFRAS_HTTP_CLIENT_H
@@ -20,8 +20,8 @@
 /* Answer to http_client_send; valid only inside the callback.  */
 struct http_answer
 {
-  int code;             /* HTTP status, 0 when no answer came */
-  struct buffer body;   /* whole body */
+  int code;             /* HTTP status, 0 when no answer arrived */
+  struct buffer body;   /* complete body */
   struct status status; /* OK, TIMEOUT, BACKEND_FAILED or BACKEND_TRUNCATED */
   bool sent;            /* at least one byte of the request may have reached the server */
   const char *location; /* Location header of a redirect, or NULL */
@@ -38,20 +38,19 @@
   const char *const *headers; /* "Name: value" strings ended by NULL; may be NULL */
   const char *body;           /* may be NULL */
   size_t body_len;
-  long timeout_ms;      /* for the whole exchange */
+  long timeout_ms;      /* for the request and its answer */
   http_answer_fn *done; /* called exactly once */
   void *done_arg;
 };
 
 struct http_client *http_client_open (struct ev_loop *loop,
                                       long max_connections_per_host); /* 0: no limit. */
-void
-http_client_close (struct http_client *client); /* Drops what is in flight without calling back. */
+void http_client_close (struct http_client *client); /* Cancels open transfers; no callbacks. */
 void http_client_send (struct http_client *client,
-                       const struct http_call *call); /* Starts one exchange. */
+                       const struct http_call *call); /* Sends one request. */
 void http_client_add (struct http_client *client, CURL *easy, http_easy_done *done,
-                      void *arg); /* Runs EASY; CURLOPT_PRIVATE is ours. */
-void http_client_remove (struct http_client *client, CURL *easy); /* Abandons EASY; no callback. */
+                      void *arg); /* Runs EASY; CURLOPT_PRIVATE is reserved. */
+void http_client_remove (struct http_client *client, CURL *easy); /* Cancels EASY; no callback. */
 void http_easy_defaults (CURL *easy,
                          long timeout_ms); /* No signals, no DNS, HTTP/1.1, connect timeout. */
 
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -9,7 +9,7 @@
 #include "log.h"
 
 #define CONNECTION_TIMEOUT_S 60
-/* The library's default is 1,020; the largest cell of the target holds 8,000 workers' polls.  */
+/* The library's default is 1,020; the largest target cell has 8,000 workers with open polls.  */
 #define MAX_CONNECTIONS 16384
 #define CONNECTION_MEMORY_BYTES 32768
 #define RETRY_AFTER_S "1"
@@ -21,7 +21,7 @@
   ev_io io;
   ev_timer timer;
   ev_prepare prepare;
-  bool kicked;
+  bool run_due;
 };
 
 struct http_server
@@ -37,7 +37,7 @@
 static void
 run_daemon (struct http_loop *hl)
 {
-  hl->kicked = false;
+  hl->run_due = false;
   MHD_run (hl->daemon);
 }
 
@@ -57,14 +57,14 @@
   run_daemon (w->data);
 }
 
-/* Before the loop blocks: runs the daemon when an answer is waiting, then arms its timeout.  */
+/* Before the loop blocks: runs the daemon when an answer is ready, then arms its timeout.  */
 static void
 on_prepare (struct ev_loop *loop, ev_prepare *w, int events)
 {
   struct http_loop *hl = w->data;
   MHD_UNSIGNED_LONG_LONG timeout_ms;
   (void)events;
-  if (hl->kicked)
+  if (hl->run_due)
     run_daemon (hl);
   ev_timer_stop (loop, &hl->timer);
   if (MHD_get_timeout (hl->daemon, &timeout_ms) != MHD_YES)
@@ -96,7 +96,7 @@
 void
 http_loop_wake (struct http_loop *hl)
 {
-  hl->kicked = true;
+  hl->run_due = true;
 }
 
 void
@@ -252,7 +252,7 @@
     return;
   struct http_request *req;
   server->closing = true;
-  /* libmicrohttpd ends the process when it is stopped with suspended connections.  */
+  /* MHD_stop_daemon aborts the process while connections are suspended.  */
   LIST_FOREACH (req, &server->requests, link)
   if (req->suspended)
     MHD_resume_connection (req->connection);
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,9 +1,9 @@
 /* http_server: libmicrohttpd on the libev loop, for JSON endpoints with small bodies.
 
-   The handler runs once the whole body has arrived, and may answer at once or later; until then the
-   connection is suspended.  A request lives until its answer is sent; the handler must answer every
-   request exactly once.  The proxy, which streams, drives its own MHD daemon through
-   http_loop_open.  */
+   The handler runs once the complete body has arrived and may answer immediately or later; until
+   then the connection is suspended.  A request is valid until its answer is sent; the handler must
+   answer every request exactly once.  The proxy streams bodies, so it drives its own MHD daemon
+   through http_loop_open.  */
 
 #ifndef SASSAFRAS_HTTP_SERVER_H
 #define SASSAFRAS_HTTP_SERVER_H
@@ -19,7 +19,7 @@
 #include "buffer.h"
 #include "status.h"
 
-struct http_loop;   /* one MHD daemon attached to a libev loop */
+struct http_loop;   /* an MHD daemon attached to a libev loop */
 struct http_server; /* one listening address with one handler */
 
 struct http_request
@@ -28,11 +28,11 @@
   struct MHD_Connection *connection;
   const char *method;            /* "GET", ... */
   const char *path;              /* decoded path without the query */
-  struct buffer body;            /* whole body */
-  bool too_large;                /* the body passed the limit and was dropped */
+  struct buffer body;            /* complete body */
+  bool too_large;                /* the body exceeded max_body and was discarded */
   bool handled;                  /* the handler has run */
   bool suspended;                /* waiting for an answer */
-  struct MHD_Response *response; /* set by the answer */
+  struct MHD_Response *response; /* set by the reply */
   int response_code;
   void *user; /* the handler's own data */
   LIST_ENTRY (http_request) link;
@@ -42,23 +42,23 @@
 
 struct http_server_config
 {
-  const char *address; /* "ip:port"; port 0 takes a free one */
+  const char *address; /* "ip:port"; port 0 selects a free port */
   size_t max_body;     /* bytes; a longer body is refused as too-large */
   http_handler *handler;
   void *handler_arg;
 };
 
 struct http_loop *http_loop_open (struct ev_loop *loop,
-                                  struct MHD_Daemon *daemon); /* Watches DAEMON on LOOP. */
-void http_loop_wake (struct http_loop *hl);  /* Runs the daemon before the loop next blocks. */
+                                  struct MHD_Daemon *daemon); /* Runs DAEMON from LOOP. */
+void http_loop_wake (struct http_loop *hl);  /* Runs the daemon before the loop blocks. */
 void http_loop_close (struct http_loop *hl); /* Stops watching; does not stop the daemon. */
 
 struct http_server *http_server_open (struct ev_loop *loop, const struct http_server_config *config,
                                       struct status *st); /* NULL and ST on failure. */
-void http_server_close (struct http_server *server);      /* Ends every connection and frees. */
+void http_server_close (struct http_server *server); /* Closes all connections; frees SERVER. */
 unsigned
 http_server_open_requests (const struct http_server *server); /* Requests without an answer. */
-int http_server_port (const struct http_server *server);      /* Port in use. */
+int http_server_port (const struct http_server *server);      /* Listening port. */
 
 const char *http_header (struct http_request *req, const char *name); /* Header value or NULL. */
 const char *http_query (struct http_request *req, const char *name);  /* Query value or NULL. */
@@ -71,11 +71,11 @@
 void http_reply_with (struct http_request *req, int code, const char *type, const void *data,
                       size_t len, const char *retry_after_s); /* RETRY_AFTER_S may be NULL. */
 void http_reply_json (struct http_request *req, int code,
-                      json_t *body); /* Answers; takes over BODY. */
+                      json_t *body); /* Takes ownership of BODY. */
 void http_reply_status (struct http_request *req,
-                        const struct status *st); /* Answers by the table of kinds. */
+                        const struct status *st); /* HTTP status from status_answer. */
 void http_reply_error (struct http_request *req, enum status_kind kind, const char *format, ...)
-    __attribute__ ((format (printf, 3, 4))); /* http_reply_status with a message of its own. */
+    __attribute__ ((format (printf, 3, 4))); /* http_reply_status with a message. */
 void http_reply_redirect (struct http_request *req, const char *location); /* Answers 307. */
 json_t *http_status_json (const struct status *st); /* {"error","message","ran"}. */
 int http_parse_address (const char *text, struct sockaddr_in *out,
--- a/src/net/peer_codec.c
+++ b/src/net/peer_codec.c
@@ -9,7 +9,7 @@
 #include "buffer.h"
 
 #define LAST_FRAGMENT 0x80000000U
-#define HEADER_BYTES 64 /* more than any header we send: no credentials, empty verifier */
+#define HEADER_BYTES 64 /* enough for every header sent: no credentials, empty verifier */
 
 struct proc
 {
@@ -18,7 +18,7 @@
   xdrproc_t result;
 };
 
-/* xdr_void with the type of the other routines.  */
+/* xdr_void with the signature of xdrproc_t.  */
 static bool_t
 xdr_nothing (XDR *xdr, ...)
 {
@@ -38,17 +38,17 @@
 
 #define PROC_COUNT (sizeof procs / sizeof procs[0])
 
-/* Each denial has its own standard auth_stat, so that any ONC RPC tool can show it.  */
+/* Each denial maps to its own standard auth_stat, so that any ONC RPC tool can display it.  */
 static const enum auth_stat denial_codes[PEER_DENIALS] = {
   [PEER_DENIED_DEPLOYMENT] = AUTH_BADCRED,
-  [PEER_DENIED_STRANGER] = AUTH_BADVERF,
+  [PEER_DENIED_UNKNOWN_PEER] = AUTH_BADVERF,
   [PEER_DENIED_INCARNATION] = AUTH_REJECTEDCRED,
   [PEER_DENIED_NO_HELLO] = AUTH_TOOWEAK,
 };
 
 static const char *const denial_names[PEER_DENIALS] = {
   [PEER_DENIED_DEPLOYMENT] = "another deployment",
-  [PEER_DENIED_STRANGER] = "not in the list of peers",
+  [PEER_DENIED_UNKNOWN_PEER] = "not in the list of peers",
   [PEER_DENIED_INCARNATION] = "earlier incarnation",
   [PEER_DENIED_NO_HELLO] = "no hello",
 };
@@ -72,12 +72,12 @@
   memcpy (record, &mark, sizeof mark);
 }
 
-/* Encodes HEADER and then BODY, which must fit into MAX bytes together.  */
+/* Encodes HEADER followed by BODY, together at most MAX bytes.  */
 static char *
 encode_record (bool_t (*encode_header) (XDR *, struct rpc_msg *), struct rpc_msg *header,
                xdrproc_t proc, const void *body, size_t max, size_t *len, struct status *st)
 {
-  /* XDR routines take a pointer to mutable data in both directions; encoding only reads it.  */
+  /* XDR routines take mutable data for encoding and decoding; encoding only reads it.  */
   void *data = (void *)(uintptr_t)body;
   size_t capacity = PEER_MARK_BYTES + HEADER_BYTES + xdr_sizeof (proc, data);
   XDR xdr;
@@ -136,7 +136,7 @@
 peer_encode_failure (uint32_t xid, enum peer_outcome outcome, enum peer_denial denial, size_t *len)
 {
   struct rpc_msg header = accepted_header (xid, SYSTEM_ERR);
-  if (outcome == PEER_UNKNOWN_CALL)
+  if (outcome == PEER_UNKNOWN_PROCEDURE)
     header.acpted_rply.ar_stat = PROC_UNAVAIL;
   if (outcome == PEER_GARBAGE_ARGS)
     header.acpted_rply.ar_stat = GARBAGE_ARGS;
@@ -216,14 +216,14 @@
   out->proc = call->cb_proc;
   if (call->cb_prog != SASSAFRAS_PEER || call->cb_vers != SASSAFRAS_PEER_V1
       || call->cb_proc >= PROC_COUNT)
-    out->outcome = PEER_UNKNOWN_CALL;
+    out->outcome = PEER_UNKNOWN_PROCEDURE;
 }
 
 static void
 read_denial (const struct rpc_msg *message, struct peer_header *out)
 {
   out->outcome = PEER_DENIED;
-  out->denial = PEER_DENIED_STRANGER;
+  out->denial = PEER_DENIED_UNKNOWN_PEER;
   if (message->rjcted_rply.rj_stat != AUTH_ERROR)
     return;
   for (int i = 0; i < PEER_DENIALS; i++)
@@ -250,7 +250,7 @@
     case PROG_UNAVAIL:
     case PROG_MISMATCH:
     case PROC_UNAVAIL:
-      out->outcome = PEER_UNKNOWN_CALL;
+      out->outcome = PEER_UNKNOWN_PROCEDURE;
       break;
     default:
       out->outcome = PEER_REFUSED;
@@ -260,7 +260,7 @@
 int
 peer_decode_header (const char *data, size_t len, struct peer_header *out)
 {
-  /* The decoder copies credentials into these instead of allocating.  */
+  /* The decoder copies credentials into these buffers instead of allocating.  */
   char cred[MAX_AUTH_BYTES];
   char verf[MAX_AUTH_BYTES];
   struct rpc_msg message = { 0 };
@@ -291,7 +291,7 @@
   return 0;
 }
 
-/* XDR accepts any integer as an enum; handlers switch on these values.  */
+/* XDR accepts any integer as an enum value, but handlers switch on these values.  */
 static bool
 raft_enums_known (const raft_message *m)
 {
--- a/src/net/peer_net.c
+++ b/src/net/peer_net.c
@@ -13,9 +13,9 @@
 
 #define LISTEN_BACKLOG 128
 #define ACCEPTS_PER_EVENT 16
-#define MAX_GREETING 64    /* inbound connections before their hello */
-#define LATE_TICK_MS 500   /* a tick this late means that the process itself was held up */
-#define LATE_GRACE_MS 1000 /* time to read what arrived meanwhile before silence counts */
+#define MAX_AWAITING_HELLO 64 /* inbound connections before their hello */
+#define LATE_TICK_MS 500      /* a longer tick interval means that the process was paused */
+#define LATE_GRACE_MS 1000    /* time to read pending input before the receive timeout applies */
 #define MS_PER_S 1000.0
 
 struct counter peer_sent_bytes
@@ -80,7 +80,7 @@
 }
 
 static struct peer *
-next_lost (struct peer_net *net)
+find_lost (struct peer_net *net)
 {
   struct peer *p;
   TAILQ_FOREACH (p, &net->peers, link)
@@ -90,12 +90,12 @@
 }
 
 void
-peer_deliver (struct peer_net *net)
+peer_run_callbacks (struct peer_net *net)
 {
   struct peer *p;
   struct call *call;
   struct peer_info info;
-  while ((p = next_lost (net)))
+  while ((p = find_lost (net)))
     {
       p->lost = false;
       peer_fill_info (p, &info);
@@ -105,7 +105,7 @@
   while ((call = TAILQ_FIRST (&net->ended)))
     {
       TAILQ_REMOVE (&net->ended, call, link);
-      calls_deliver (call);
+      calls_complete (call);
     }
 }
 
@@ -119,11 +119,11 @@
 }
 
 static void
-free_dead (struct peer_net *net)
+free_closed (struct peer_net *net)
 {
   struct conn *c;
   struct peer *p;
-  while ((c = LIST_FIRST (&net->dead)))
+  while ((c = LIST_FIRST (&net->closed_conns)))
     conn_free (c);
   while ((p = TAILQ_FIRST (&net->removed)))
     {
@@ -138,8 +138,8 @@
   struct peer_net *net = w->data;
   (void)loop;
   (void)events;
-  peer_deliver (net);
-  free_dead (net);
+  peer_run_callbacks (net);
+  free_closed (net);
 }
 
 static void
@@ -158,12 +158,12 @@
   for (int i = 0; i < ACCEPTS_PER_EVENT; i++)
     {
       int fd = accept4 (w->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-      /* Out of file descriptors: the event would repeat at once, so wait for the next tick.  */
+      /* Out of descriptors or memory: the event would repeat at once, so wait for the next tick. */
       if (fd < 0 && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM))
         ev_io_stop (loop, w);
       if (fd < 0)
         return;
-      if (net->greeting >= MAX_GREETING)
+      if (net->awaiting_hello >= MAX_AWAITING_HELLO)
         close (fd);
       else
         conn_open (net, fd, NULL, CONN_HELLO);
@@ -171,9 +171,9 @@
 }
 
 static void
-check_silence (struct conn *c, int64_t now_ms)
+check_receive_timeout (struct conn *c, int64_t now_ms)
 {
-  if (now_ms - c->received_ms < PEER_SILENCE_MS)
+  if (now_ms - c->last_received_ms < PEER_RECEIVE_TIMEOUT_MS)
     return;
   if (c->peer)
     c->peer->stats.silent_closes++;
@@ -184,11 +184,11 @@
 static void
 tick_conn (struct conn *c, int64_t now_ms, bool late)
 {
-  int64_t floor_ms = now_ms - PEER_SILENCE_MS + LATE_GRACE_MS;
-  if (late && c->received_ms < floor_ms)
-    c->received_ms = floor_ms;
+  int64_t floor_ms = now_ms - PEER_RECEIVE_TIMEOUT_MS + LATE_GRACE_MS;
+  if (late && c->last_received_ms < floor_ms)
+    c->last_received_ms = floor_ms;
   calls_expire (c, now_ms);
-  check_silence (c, now_ms);
+  check_receive_timeout (c, now_ms);
   if (!c->closed)
     link_keepalive (c, now_ms);
 }
@@ -200,8 +200,8 @@
   struct conn *next;
   struct peer *p;
   int64_t now = clock_now_ms (net->clock);
-  bool late = now - net->ticked_ms > LATE_TICK_MS;
-  net->ticked_ms = now;
+  bool late = now - net->last_tick_ms > LATE_TICK_MS;
+  net->last_tick_ms = now;
   for (c = LIST_FIRST (&net->conns); c; c = next)
     {
       next = LIST_NEXT (c, link);
@@ -230,7 +230,7 @@
     return -1;
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
-    return status_set (st, STATUS_INTERNAL, "no socket: %s", strerror (errno));
+    return status_set (st, STATUS_INTERNAL, "cannot create socket: %s", strerror (errno));
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   if (bind (fd, (struct sockaddr *)&address, sizeof address) < 0 || listen (fd, LISTEN_BACKLOG) < 0
       || getsockname (fd, (struct sockaddr *)&address, &size) < 0)
@@ -286,12 +286,12 @@
   net->vm = xstrdup (config->vm);
   net->data_centre = xstrdup (config->data_centre);
   net->scratch = xmalloc (READ_BYTES);
-  net->ticked_ms = clock_now_ms (net->clock);
+  net->last_tick_ms = clock_now_ms (net->clock);
   TAILQ_INIT (&net->peers);
   TAILQ_INIT (&net->removed);
   TAILQ_INIT (&net->ended);
   LIST_INIT (&net->conns);
-  LIST_INIT (&net->dead);
+  LIST_INIT (&net->closed_conns);
   STAILQ_INIT (&net->dirty);
   return net;
 }
@@ -347,7 +347,7 @@
       TAILQ_REMOVE (&net->ended, call, link);
       calls_free (call);
     }
-  free_dead (net);
+  free_closed (net);
   ev_io_stop (net->loop, &net->accept_io);
   ev_timer_stop (net->loop, &net->timer);
   ev_clear_pending (net->loop, &net->flush);
@@ -387,7 +387,7 @@
   p->address = xstrdup (address);
   if (p->out)
     conn_close (p->out, "address changed");
-  p->dial_ms = 0;
+  p->next_dial_ms = 0;
   p->backoff_ms = 0;
 }
 
@@ -466,7 +466,7 @@
 }
 
 uint64_t
-peer_net_refused (const struct peer_net *net)
+peer_net_refusals (const struct peer_net *net)
 {
-  return net->refused;
+  return net->refused_hellos;
 }
--- a/src/net/peer_net_calls.c
+++ b/src/net/peer_net_calls.c
@@ -4,16 +4,16 @@
 #include "log.h"
 #include "peer_net_internal.h"
 
-static char no_text[] = "";
+static char empty_text[] = "";
 
-/* Moves CALL to the list of ended calls with its status set.  */
+/* Moves CALL, whose status is set, to the list of ended calls.  */
 static void
 end_call (struct conn *c, struct call *call)
 {
   TAILQ_REMOVE (&c->calls, call, link);
   c->open_calls--;
   if (call->record && call->record->written == 0)
-    conn_unqueue (c, call->record);
+    conn_dequeue (c, call->record);
   else if (call->record)
     call->record->call = NULL;
   call->record = NULL;
@@ -26,7 +26,7 @@
   peer_defer (c->net);
 }
 
-/* Ends a call that got no answer; REASON tells why.  */
+/* Ends a call without an answer; REASON goes into its status.  */
 static void
 fail_call (struct conn *c, struct call *call, const char *reason)
 {
@@ -69,7 +69,7 @@
 }
 
 void
-calls_deliver (struct call *call)
+calls_complete (struct call *call)
 {
   bool ok = call->status.kind == STATUS_OK;
   const union peer_body *result = &call->result;
@@ -82,9 +82,9 @@
   calls_free (call);
 }
 
-/* Ends a call that could not be queued; C is NULL when there is no connection.  */
+/* Ends a call that could not be queued; P is NULL when no peer has the node.  */
 static void
-fail_at_once (struct peer_net *net, struct peer *p, struct call *call)
+fail_immediately (struct peer_net *net, struct peer *p, struct call *call)
 {
   if (p)
     p->stats.failed_calls++;
@@ -93,7 +93,7 @@
   peer_defer (net);
 }
 
-/* NULL and ST set when the call must fail at once.  */
+/* Returns NULL and sets ST when the call must fail immediately.  */
 static struct conn *
 usable_conn (struct peer *p, uint64_t node, struct status *st)
 {
@@ -128,7 +128,7 @@
     status_set (&call->status, STATUS_OVERLOADED, "the queue to %s is full", p->name);
   if (call->status.kind != STATUS_OK)
     {
-      fail_at_once (net, p, call);
+      fail_immediately (net, p, call);
       return;
     }
   call->record = TAILQ_LAST (&c->out, record_list);
@@ -182,7 +182,7 @@
     }
   p->stats.dropped_raft++;
   counter_add (&peer_dropped_raft, 1);
-  log_line (LOG_ERROR, "raft message to %s can't be sent: %s", p->name, st.message);
+  log_line (LOG_ERROR, "cannot send the raft message to %s: %s", p->name, st.message);
 }
 
 bool
@@ -197,7 +197,7 @@
       = peer_encode_call (net->next_xid++, PEER_ORDERS, orders, PEER_MAX_RECORD_BYTES, &len, &st);
   if (bytes)
     return conn_queue (p->out, RECORD_CONTROL, bytes, len, NULL) == 0;
-  log_line (LOG_ERROR, "orders for %s can't be sent: %s", p->name, st.message);
+  log_line (LOG_ERROR, "cannot send the orders for %s: %s", p->name, st.message);
   return false;
 }
 
@@ -212,13 +212,13 @@
 }
 
 static void
-fail_answered (struct call *call, enum peer_outcome outcome)
+fail_by_outcome (struct call *call, enum peer_outcome outcome)
 {
   const char *name = peer_proc_name (call->proc);
   if (outcome == PEER_REFUSED || outcome == PEER_DENIED)
     status_set (&call->status, STATUS_OVERLOADED, "the peer refused %s", name);
   else
-    status_set (&call->status, STATUS_BAD_REQUEST, "the peer could not read %s", name);
+    status_set (&call->status, STATUS_BAD_REQUEST, "the peer could not decode %s", name);
 }
 
 static int
@@ -227,11 +227,11 @@
   if (h->is_call)
     return -1;
   struct call *call = find_call (c, h->xid);
-  /* The answer to a keepalive, or to a call whose deadline has passed.  */
+  /* The answer belongs to a keepalive or to a call past its deadline.  */
   if (!call)
     return 0;
   if (h->outcome != PEER_SUCCESS)
-    fail_answered (call, h->outcome);
+    fail_by_outcome (call, h->outcome);
   else if (peer_decode_result (call->proc, body, len, &call->result) < 0)
     {
       fail_call (c, call, "the answer is malformed");
@@ -246,7 +246,7 @@
 {
   if (conn_queue (c, RECORD_CONTROL, bytes, len, NULL) == 0)
     return 0;
-  conn_close (c, "the peer does not read its answers");
+  conn_close (c, "queue full: the peer does not read answers");
   return 0;
 }
 
@@ -270,9 +270,9 @@
   return reply;
 }
 
-/* Returns the connection to answer on and ends REPLY; NULL when the connection is gone.  */
+/* Frees REPLY and returns the connection to answer on, or NULL when that is closed.  */
 static struct conn *
-take_reply (struct peer_reply *reply)
+release_reply (struct peer_reply *reply)
 {
   struct conn *c = reply->conn;
   if (c)
@@ -291,7 +291,7 @@
   uint32_t xid = reply->xid;
   bool matches = reply->proc == proc;
   size_t len;
-  struct conn *c = take_reply (reply);
+  struct conn *c = release_reply (reply);
   if (!c)
     return;
   char *bytes
@@ -301,8 +301,8 @@
       queue_answer (c, bytes, len);
       return;
     }
-  /* The work may have been done, so the caller must not be told that it was refused.  */
-  log_line (LOG_ERROR, "answer to %s from %s can't be sent: %s", peer_proc_name (proc),
+  /* The call may have been executed, so it must not be answered as refused.  */
+  log_line (LOG_ERROR, "cannot send the answer to %s from %s: %s", peer_proc_name (proc),
             c->peer->name, matches ? st.message : "wrong type");
   conn_close (c, "an answer could not be encoded");
 }
@@ -312,7 +312,7 @@
 {
   propose_reply copy = *result;
   if (!copy.message)
-    copy.message = no_text;
+    copy.message = empty_text;
   answer (reply, PEER_PROPOSE, &copy);
 }
 
@@ -332,7 +332,7 @@
 peer_reply_refuse (struct peer_reply *reply)
 {
   uint32_t xid = reply->xid;
-  struct conn *c = take_reply (reply);
+  struct conn *c = release_reply (reply);
   if (c)
     answer_failure (c, xid, PEER_REFUSED);
 }
@@ -342,7 +342,7 @@
 {
   const struct peer_net_config *config = &c->net->config;
   struct peer_info from;
-  /* A message for the member that lived on this VM's earlier disk, or from one on the peer's.  */
+  /* Ignores messages to or from a node that belonged to an earlier disk of this VM or the peer.  */
   if (message->from != c->peer->node || message->to != config->node || !config->handlers.raft)
     return;
   peer_fill_info (c->peer, &from);
@@ -409,7 +409,7 @@
   if (!h->is_call)
     return -1;
   if (h->outcome != PEER_SUCCESS)
-    return answer_failure (c, h->xid, PEER_UNKNOWN_CALL);
+    return answer_failure (c, h->xid, PEER_UNKNOWN_PROCEDURE);
   if (peer_decode_args (h->proc, body, len, &args) < 0)
     return is_one_way (h->proc) ? -1 : answer_failure (c, h->xid, PEER_GARBAGE_ARGS);
   if (h->proc == PEER_NULL)
--- a/src/net/peer_net_conn.c
+++ b/src/net/peer_net_conn.c
@@ -10,9 +10,10 @@
 #include "peer_net_internal.h"
 
 #define WRITE_VECTORS 32
-#define UNSENT_LOW_WATER_BYTES (128 * 1024) /* more stays in our queue, where it can be dropped */
-#define HELLO_MAX_BYTES 1024                /* largest record of a sender that is not known yet */
-#define KEEP_INPUT_BYTES (64 * 1024)        /* larger input buffers are freed once empty */
+#define UNSENT_LOW_WATER_BYTES                                                                     \
+  (128 * 1024)                       /* the rest stays in the queue, where it can be dropped */
+#define HELLO_MAX_BYTES 1024         /* largest record accepted before the hello */
+#define KEEP_INPUT_BYTES (64 * 1024) /* larger input buffers are freed when empty */
 
 static void on_io (struct ev_loop *loop, ev_io *w, int events);
 
@@ -27,8 +28,8 @@
   c->events = events;
 }
 
-/* Both ends need TCP_NODELAY: without it an answer waits for the delayed ACK of the one before,
-   which is 40 ms or more.  */
+/* Both ends need TCP_NODELAY: without it an answer waits for the delayed ACK of the previous one,
+   40 ms or more.  */
 static void
 set_options (int fd)
 {
@@ -46,7 +47,7 @@
   c->peer = peer;
   c->outbound = peer != NULL;
   c->state = state;
-  c->received_ms = clock_now_ms (net->clock);
+  c->last_received_ms = clock_now_ms (net->clock);
   set_options (fd);
   TAILQ_INIT (&c->out);
   TAILQ_INIT (&c->calls);
@@ -57,12 +58,12 @@
   c->io.data = c;
   ev_io_start (net->loop, &c->io);
   if (!c->outbound)
-    net->greeting++;
+    net->awaiting_hello++;
   return c;
 }
 
 void
-conn_unqueue (struct conn *c, struct record *r)
+conn_dequeue (struct conn *c, struct record *r)
 {
   TAILQ_REMOVE (&c->out, r, link);
   c->out_bytes -= r->len;
@@ -74,7 +75,7 @@
 }
 
 static void
-drop_replies (struct conn *c)
+detach_replies (struct conn *c)
 {
   struct peer_reply *reply;
   while ((reply = LIST_FIRST (&c->replies)))
@@ -111,12 +112,12 @@
   ev_io_stop (c->net->loop, &c->io);
   close (c->io.fd);
   if (!c->outbound && c->state == CONN_HELLO)
-    c->net->greeting--;
+    c->net->awaiting_hello--;
   detach_peer (c, reason);
   calls_fail_all (c, reason);
-  drop_replies (c);
+  detach_replies (c);
   LIST_REMOVE (c, link);
-  LIST_INSERT_HEAD (&c->net->dead, c, link);
+  LIST_INSERT_HEAD (&c->net->closed_conns, c, link);
   peer_defer (c->net);
 }
 
@@ -125,7 +126,7 @@
 {
   struct record *r;
   while ((r = TAILQ_FIRST (&c->out)))
-    conn_unqueue (c, r);
+    conn_dequeue (c, r);
   if (c->dirty)
     STAILQ_REMOVE (&c->net->dirty, c, conn, dirty_link);
   LIST_REMOVE (c, link);
@@ -146,7 +147,7 @@
   counter_add (&peer_dropped_raft, 1);
 }
 
-/* Raft sends a newer message in place of one that is lost, so the oldest ones make room.  */
+/* Raft replaces a lost message by a newer one, so the oldest are dropped first.  */
 static void
 drop_oldest_raft (struct conn *c, size_t len)
 {
@@ -156,7 +157,7 @@
       struct record *next = TAILQ_NEXT (r, link);
       if (r->kind == RECORD_RAFT && r->written == 0)
         {
-          conn_unqueue (c, r);
+          conn_dequeue (c, r);
           count_dropped_raft (c);
         }
       r = next;
@@ -166,7 +167,7 @@
 static void
 mark_dirty (struct conn *c)
 {
-  /* While connecting or blocked, the write event flushes instead.  */
+  /* While connecting or blocked, the write event flushes the queue.  */
   if (c->dirty || (c->events & EV_WRITE))
     return;
   c->dirty = true;
@@ -211,7 +212,7 @@
 }
 
 static void
-records_written (struct conn *c, size_t bytes)
+advance_written (struct conn *c, size_t bytes)
 {
   size_t left = bytes;
   int messages = 0;
@@ -225,7 +226,7 @@
         r->call->sent = true;
       if (r->written < r->len)
         break;
-      conn_unqueue (c, r);
+      conn_dequeue (c, r);
       messages++;
     }
   count_sent (c, bytes, messages);
@@ -268,7 +269,7 @@
           conn_close (c, "write failed");
           return;
         }
-      records_written (c, (size_t)n);
+      advance_written (c, (size_t)n);
     }
   conn_watch (c, EV_READ);
   if (c->state == CONN_DRAINING)
@@ -299,7 +300,7 @@
   c->peer->stats.received_messages += (uint64_t)messages;
 }
 
-/* Handles the whole records in DATA and returns how many bytes they took.  */
+/* Handles all complete records in DATA and returns the number of bytes consumed.  */
 static size_t
 parse (struct conn *c, char *data, size_t len)
 {
@@ -328,11 +329,11 @@
 }
 
 static void
-input_arrived (struct conn *c, size_t len)
+handle_input (struct conn *c, size_t len)
 {
   struct buffer *in = &c->in;
   char *scratch = c->net->scratch;
-  c->received_ms = clock_now_ms (c->net->clock);
+  c->last_received_ms = clock_now_ms (c->net->clock);
   if (in->len == 0)
     {
       size_t used = parse (c, scratch, len);
@@ -352,7 +353,7 @@
 {
   ssize_t n = recv (c->io.fd, c->net->scratch, READ_BYTES, 0);
   if (n > 0)
-    input_arrived (c, (size_t)n);
+    handle_input (c, (size_t)n);
   else if (n == 0)
     conn_close (c, "closed by the peer");
   else if (errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)
--- a/src/net/peer_net_link.c
+++ b/src/net/peer_net_link.c
@@ -18,7 +18,7 @@
   int64_t now = clock_now_ms (net->clock);
   if (p->backoff_ms < BACKOFF_MIN_MS)
     p->backoff_ms = BACKOFF_MIN_MS;
-  p->dial_ms = now + rng_between (&net->rng, p->backoff_ms / 2, p->backoff_ms);
+  p->next_dial_ms = now + rng_between (&net->rng, p->backoff_ms / 2, p->backoff_ms);
   p->backoff_ms = p->backoff_ms * 2 < BACKOFF_MAX_MS ? p->backoff_ms * 2 : BACKOFF_MAX_MS;
 }
 
@@ -46,7 +46,7 @@
 void
 link_dial_due (struct peer_net *net, struct peer *p, int64_t now_ms)
 {
-  if (!p->out && p->dial_ms <= now_ms)
+  if (!p->out && p->next_dial_ms <= now_ms)
     dial (net, p);
 }
 
@@ -78,7 +78,7 @@
     }
   peer_hello hello = own_hello (net);
   c->state = CONN_HELLO;
-  c->received_ms = clock_now_ms (net->clock);
+  c->last_received_ms = clock_now_ms (net->clock);
   c->hello_xid = net->next_xid++;
   conn_watch (c, EV_READ);
   char *bytes
@@ -92,15 +92,16 @@
   size_t len;
   if (!c->outbound || c->state != CONN_READY)
     return;
-  if (now_ms - c->received_ms < PEER_KEEPALIVE_MS || now_ms - c->keepalive_ms < PEER_KEEPALIVE_MS)
+  if (now_ms - c->last_received_ms < PEER_KEEPALIVE_MS
+      || now_ms - c->last_keepalive_ms < PEER_KEEPALIVE_MS)
     return;
-  c->keepalive_ms = now_ms;
+  c->last_keepalive_ms = now_ms;
   char *bytes
       = peer_encode_call (c->net->next_xid++, PEER_NULL, NULL, PEER_MAX_RECORD_BYTES, &len, NULL);
   conn_queue (c, RECORD_CONTROL, bytes, len, NULL);
 }
 
-/* PEER_DENIALS when HELLO may be accepted; *OUT is the peer it names, if any.  */
+/* Returns PEER_DENIALS when HELLO is acceptable; *OUT is the peer it names, or NULL.  */
 static enum peer_denial
 check_hello (struct peer_net *net, const peer_hello *hello, struct peer **out)
 {
@@ -110,10 +111,10 @@
   struct peer *p = peer_find_name (net, hello->vm);
   *out = p;
   if (!p || hello->node == 0 || hello->node == net->config.node)
-    return PEER_DENIED_STRANGER;
+    return PEER_DENIED_UNKNOWN_PEER;
   struct peer *owner = peer_find_node (net, hello->node);
   if (owner && owner != p)
-    return PEER_DENIED_STRANGER;
+    return PEER_DENIED_UNKNOWN_PEER;
   if (hello->incarnation < p->incarnation)
     return PEER_DENIED_INCARNATION;
   return PEER_DENIALS;
@@ -123,7 +124,7 @@
 count_refusal (struct peer_net *net, struct peer *p, const char *name, const char *what,
                enum peer_denial denial)
 {
-  net->refused++;
+  net->refused_hellos++;
   counter_add (&peer_refused_hellos, 1);
   if (p)
     p->stats.refused_hellos++;
@@ -136,9 +137,9 @@
     log_line (LOG_WARN, "%s %s: %s", what, name, peer_denial_name (denial));
 }
 
-/* Takes over what HELLO says about P.  True when it shows a new life of P.  */
+/* Copies the identity in HELLO to P.  True when node, incarnation or initialized changed.  */
 static bool
-learn_identity (struct peer *p, const peer_hello *hello)
+update_identity (struct peer *p, const peer_hello *hello)
 {
   bool changed = hello->incarnation != p->incarnation || hello->node != p->node
                  || hello->initialized != p->initialized;
@@ -159,13 +160,13 @@
   struct peer_info info;
   if (!net->config.handlers.hello)
     return;
-  /* A loss that came before this hello must also be reported before it.  */
-  peer_deliver (net);
+  /* An earlier loss of the connection must be reported before this hello.  */
+  peer_run_callbacks (net);
   peer_fill_info (p, &info);
   net->config.handlers.hello (net->config.handler_arg, &info);
 }
 
-/* The process behind our outbound connection has restarted; its calls can't be answered.  */
+/* Closes the outbound connection to a process that has restarted; calls on it get no answer.  */
 static void
 drop_stale_outbound (struct peer *p)
 {
@@ -174,7 +175,7 @@
     return;
   conn_close (out, "the peer has restarted");
   p->backoff_ms = 0;
-  p->dial_ms = 0;
+  p->next_dial_ms = 0;
 }
 
 static void
@@ -182,14 +183,14 @@
 {
   struct peer_net *net = c->net;
   size_t len;
-  bool changed = learn_identity (p, hello);
+  bool changed = update_identity (p, hello);
   if (p->in)
     conn_close (p->in, "replaced by a new connection");
   p->in = c;
   c->peer = p;
   c->state = CONN_READY;
   c->incarnation = hello->incarnation;
-  net->greeting--;
+  net->awaiting_hello--;
   drop_stale_outbound (p);
   peer_hello own = own_hello (net);
   char *bytes = peer_encode_result (xid, PEER_HELLO, &own, PEER_MAX_RECORD_BYTES, &len, NULL);
@@ -203,7 +204,7 @@
 {
   size_t len;
   char *bytes = peer_encode_failure (xid, PEER_DENIED, denial, &len);
-  c->net->greeting--;
+  c->net->awaiting_hello--;
   c->state = CONN_DRAINING;
   conn_queue (c, RECORD_CONTROL, bytes, len, NULL);
 }
@@ -240,7 +241,7 @@
 outbound_ready (struct conn *c, const peer_hello *hello)
 {
   struct peer *p = c->peer;
-  learn_identity (p, hello);
+  update_identity (p, hello);
   c->state = CONN_READY;
   c->incarnation = hello->incarnation;
   p->backoff_ms = 0;
@@ -259,7 +260,7 @@
     return -1;
   if (h->outcome == PEER_DENIED)
     {
-      count_refusal (c->net, c->peer, c->peer->name, "our hello was refused by", h->denial);
+      count_refusal (c->net, c->peer, c->peer->name, "hello was refused by", h->denial);
       conn_close (c, "hello refused");
       return 0;
     }
@@ -267,12 +268,12 @@
     return -1;
   enum peer_denial denial = check_hello (c->net, &result.hello, &p);
   if (denial == PEER_DENIALS && p != c->peer)
-    denial = PEER_DENIED_STRANGER;
+    denial = PEER_DENIED_UNKNOWN_PEER;
   if (denial == PEER_DENIALS)
     outbound_ready (c, &result.hello);
   else
     {
-      count_refusal (c->net, c->peer, c->peer->name, "refused the answer to our hello from",
+      count_refusal (c->net, c->peer, c->peer->name, "refused the answer to the hello from",
                      denial);
       conn_close (c, "hello refused");
     }
--- a/tests/test_peer_codec.c
+++ b/tests/test_peer_codec.c
@@ -1,5 +1,5 @@
 /* Guards against a decoder that crashes, reads past the record, allocates without bound or accepts
-   a damaged message.  Run it in the sanitizer build to see bad reads.  */
+   a corrupt message.  Out-of-bounds reads show in the sanitizer build.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -57,9 +57,9 @@
   return peer_encode_call (43, PEER_RUNNERS, &digest, PEER_MAX_RECORD_BYTES, len, NULL);
 }
 
-/* Decodes as a daemon would and frees; returns whether the whole record was accepted.  */
+/* Decodes a record as the daemon does and frees it; returns whether it was accepted.  */
 static bool
-consume (char *data, size_t len)
+decode_and_free (char *data, size_t len)
 {
   struct peer_record record;
   struct peer_header h;
@@ -114,7 +114,7 @@
   size_t len;
   struct peer_header h;
   (void)state;
-  for (int outcome = PEER_UNKNOWN_CALL; outcome <= PEER_DENIED; outcome++)
+  for (int outcome = PEER_UNKNOWN_PROCEDURE; outcome <= PEER_DENIED; outcome++)
     for (int denial = 0; denial < PEER_DENIALS; denial++)
       {
         char *bytes
@@ -129,7 +129,7 @@
       }
 }
 
-/* A record cut into fragments must be joined, and each strict prefix must wait for more bytes.  */
+/* A record split into fragments must be joined; each strict prefix must be incomplete.  */
 static void
 test_fragments (void **state)
 {
@@ -150,7 +150,7 @@
       struct peer_record record;
       assert_int_equal (peer_record_next (cut, n, SMALL, &record), 0);
     }
-  assert_true (consume (cut, len + PEER_MARK_BYTES));
+  assert_true (decode_and_free (cut, len + PEER_MARK_BYTES));
   free (cut);
   free (bytes);
 }
@@ -171,7 +171,7 @@
   assert_int_equal (peer_record_next (many, sizeof many, SMALL, &record), -1);
 }
 
-/* What the sender's own bounds refuse must not reach the wire.  */
+/* Messages over the sender's bounds must not be encoded.  */
 static void
 test_encode_bounds (void **state)
 {
@@ -192,7 +192,7 @@
   free (args.command.command_val);
 }
 
-/* XDR lets any integer pass as an enum, and bytes may follow the last field.  */
+/* XDR decodes any integer as an enum and ignores bytes after the last field; the codec must not. */
 static void
 test_unknown_enum_and_trailing_bytes (void **state)
 {
@@ -233,12 +233,12 @@
         bytes[j] = rng_chance (&rng, 0.5) ? 0 : (char)rng_below (&rng, 256);
       uint32_t mark = htonl (0x80000000U | (uint32_t)(len - PEER_MARK_BYTES));
       memcpy (bytes, &mark, sizeof mark);
-      consume (bytes, len);
+      decode_and_free (bytes, len);
       free (bytes);
     }
 }
 
-/* Changed bytes, swapped lengths and truncation of real messages.  */
+/* Valid messages with changed bytes, wrong lengths and truncation.  */
 static void
 test_mutations (void **state)
 {
@@ -262,10 +262,10 @@
           uint32_t huge = htonl ((uint32_t)rng_next (&rng));
           memcpy (bytes + 4 * (1 + rng_below (&rng, len / 4 - 1)), &huge, sizeof huge);
         }
-      accepted += consume (bytes, rng_chance (&rng, 0.1) ? len - 4 : len);
+      accepted += decode_and_free (bytes, rng_chance (&rng, 0.1) ? len - 4 : len);
       free (bytes);
     }
-  /* Both ends must have been exercised.  */
+  /* Both accepted and refused messages must occur.  */
   assert_true (accepted > MUTATIONS / 10 && accepted < MUTATIONS * 9 / 10);
   free (originals[0]);
   free (originals[1]);
--- a/tests/test_peer_net.c
+++ b/tests/test_peer_net.c
@@ -1,6 +1,6 @@
-/* Guards against a transport that lets a stranger or an earlier life of a VM in, lets one slow or
-   silent peer hold up another, loses or repeats the result of a call, or dies of garbage.
-   Sockets on loopback are real; time is the manual clock, advanced in steps.  */
+/* Guards against a transport that accepts an unknown sender or an earlier incarnation of a VM, lets
+   a slow or unresponsive peer delay another, loses or repeats the result of a call, or crashes on
+   malformed input.  Uses loopback sockets and the manual clock, which is advanced in steps.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,9 +26,9 @@
 
 static struct ev_loop *loop;
 static struct manual_clock clk;
-static struct end *open_ends[4]; /* ticked by step */
+static struct endpoint *open_endpoints[4]; /* step runs their ticks */
 
-struct end
+struct endpoint
 {
   struct peer_net *net;
   int hellos;
@@ -40,8 +40,8 @@
   int proposals;
   struct peer_info last_hello;
   void (*on_raft) (void *arg, const struct peer_info *from, const raft_message *m);
-  bool hold; /* keep the reply handle instead of answering */
-  struct peer_reply *held;
+  bool defer_reply; /* store the reply handle instead of answering */
+  struct peer_reply *deferred_reply;
 };
 
 struct outcome
@@ -54,7 +54,7 @@
 static void
 on_orders (void *arg, const struct peer_info *from, const peer_orders *orders)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   assert_int_equal (from->node, 1);
   e->orders++;
   e->order_bytes += orders->data.data_len;
@@ -63,7 +63,7 @@
 static void
 on_raft (void *arg, const struct peer_info *from, const raft_message *m)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   assert_int_equal (from->node, m->from);
   if (e->on_raft)
     {
@@ -79,12 +79,12 @@
 on_propose (void *arg, const struct peer_info *from, const propose_args *args,
             struct peer_reply *reply)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   propose_reply result = { .leader = args->group + 1 };
   (void)from;
   e->proposals++;
-  if (e->hold)
-    e->held = reply;
+  if (e->defer_reply)
+    e->deferred_reply = reply;
   else
     peer_reply_propose (reply, &result);
 }
@@ -92,7 +92,7 @@
 static void
 on_hello (void *arg, const struct peer_info *peer)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   e->hellos++;
   e->last_hello = *peer;
 }
@@ -100,7 +100,7 @@
 static void
 on_lost (void *arg, const struct peer_info *peer)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   (void)peer;
   e->losses++;
 }
@@ -116,8 +116,8 @@
 }
 
 static void
-open_end (struct end *e, const char *deployment, const char *vm, uint64_t node,
-          uint64_t incarnation)
+open_endpoint (struct endpoint *e, const char *deployment, const char *vm, uint64_t node,
+               uint64_t incarnation)
 {
   struct status st = { 0 };
   struct peer_net_config config = {
@@ -141,25 +141,25 @@
   e->net = peer_net_open (loop, &config, &st);
   assert_non_null (e->net);
   for (int i = 0; i < 4; i++)
-    if (!open_ends[i])
+    if (!open_endpoints[i])
       {
-        open_ends[i] = e;
+        open_endpoints[i] = e;
         return;
       }
   fail ();
 }
 
 static void
-close_end (struct end *e)
+close_endpoint (struct endpoint *e)
 {
   for (int i = 0; i < 4; i++)
-    if (open_ends[i] == e)
-      open_ends[i] = NULL;
+    if (open_endpoints[i] == e)
+      open_endpoints[i] = NULL;
   peer_net_close (e->net);
 }
 
 static void
-set_peer_port (struct end *e, const char *vm, uint64_t node, int port)
+set_peer_port (struct endpoint *e, const char *vm, uint64_t node, int port)
 {
   char address[32];
   struct peer_config peer = { .name = vm, .node = node, .address = address };
@@ -168,7 +168,7 @@
 }
 
 static void
-pump (int rounds)
+run_loop (int rounds)
 {
   for (int i = 0; i < rounds; i++)
     {
@@ -184,21 +184,21 @@
     {
       manual_clock_advance (&clk, STEP_MS);
       for (int i = 0; i < 4; i++)
-        if (open_ends[i])
-          peer_net_tick (open_ends[i]->net);
-      pump (4);
+        if (open_endpoints[i])
+          peer_net_tick (open_endpoints[i]->net);
+      run_loop (4);
     }
 }
 
 static bool
-connected (struct end *e, uint64_t node)
+connected (struct endpoint *e, uint64_t node)
 {
   struct peer_info info;
   return peer_net_peer (e->net, node, &info) && info.connected;
 }
 
 static struct peer_info
-info_of (struct end *e, uint64_t node)
+info_of (struct endpoint *e, uint64_t node)
 {
   struct peer_info info = { 0 };
   assert_true (peer_net_peer (e->net, node, &info));
@@ -206,7 +206,7 @@
 }
 
 static void
-await_connected (struct end *e, uint64_t node)
+await_connected (struct endpoint *e, uint64_t node)
 {
   for (int i = 0; i < MAX_STEPS && !connected (e, node); i++)
     step (STEP_MS);
@@ -214,10 +214,10 @@
 }
 
 static void
-open_pair (struct end *a, struct end *b)
+open_pair (struct endpoint *a, struct endpoint *b)
 {
-  open_end (a, "huron", "vm-a", 1, 100);
-  open_end (b, "huron", "vm-b", 2, 100);
+  open_endpoint (a, "huron", "vm-a", 1, 100);
+  open_endpoint (b, "huron", "vm-b", 2, 100);
   set_peer_port (a, "vm-b", 0, peer_net_port (b->net));
   set_peer_port (b, "vm-a", 1, peer_net_port (a->net));
   await_connected (a, 2);
@@ -225,7 +225,7 @@
 }
 
 static void
-send_raft (struct end *e, uint64_t from, uint64_t to, uint64_t term, size_t chunk)
+send_raft (struct endpoint *e, uint64_t from, uint64_t to, uint64_t term, size_t chunk)
 {
   raft_message m = { .type = RAFT_APPEND_REQUEST, .from = from, .to = to, .term = term };
   m.chunk.chunk_len = (u_int)chunk;
@@ -235,7 +235,7 @@
 }
 
 static void
-propose (struct end *e, uint64_t node, struct outcome *o)
+propose (struct endpoint *e, uint64_t node, struct outcome *o)
 {
   propose_args args = { .group = 6 };
   memset (o, 0, sizeof *o);
@@ -243,7 +243,7 @@
   assert_int_equal (o->calls, 0);
 }
 
-/* A TCP endpoint without any protocol.  */
+/* Raw TCP endpoints without the protocol.  */
 static int
 raw_connect (int port)
 {
@@ -272,13 +272,13 @@
 static void
 test_messages_and_identity (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   (void)state;
   open_pair (&a, &b);
   assert_string_equal (a.last_hello.name, "vm-b");
-  assert_int_equal (a.last_hello.node, 2); /* learned: the config said 0 */
+  assert_int_equal (a.last_hello.node, 2); /* from the hello; configured as 0 */
   assert_int_equal (a.last_hello.incarnation, 100);
   assert_true (a.last_hello.initialized);
   for (uint64_t term = 1; term <= 50; term++)
@@ -292,16 +292,16 @@
   step (STEP_MS);
   assert_int_equal (b.raft, 50);
   assert_true (o.calls == 1 && o.kind == STATUS_NOT_FOUND);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* One-way messages with orders arrive whole; what has no connection is said to be not sent.  */
+/* Orders arrive complete; without a connection they are reported as not sent.  */
 static void
 test_orders_arrive_or_are_not_sent (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   char data[5000] = "orders";
   const peer_orders orders = { { sizeof data, data } };
   (void)state;
@@ -312,57 +312,57 @@
   assert_int_equal (b.orders, 20);
   assert_int_equal (b.order_bytes, 20 * sizeof data);
   assert_false (peer_send_orders (a.net, 5, &orders));
-  close_end (&b);
+  close_endpoint (&b);
   step (STEP_MS);
   assert_false (peer_send_orders (a.net, 2, &orders));
-  close_end (&a);
+  close_endpoint (&a);
 }
 
 static void
 test_late_answer_and_timeout (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   propose_reply result = { .leader = 3 };
   (void)state;
   open_pair (&a, &b);
-  b.hold = true;
+  b.defer_reply = true;
   propose (&a, 2, &o);
   step (CALL_TIMEOUT_MS / 2);
-  peer_reply_propose (b.held, &result);
+  peer_reply_propose (b.deferred_reply, &result);
   step (STEP_MS);
   assert_true (o.calls == 1 && o.leader == 3);
   propose (&a, 2, &o);
   step (CALL_TIMEOUT_MS + 2 * STEP_MS);
   assert_true (o.calls == 1 && o.kind == STATUS_OUTCOME_UNKNOWN);
-  peer_reply_propose (b.held, &result); /* too late: must not report twice */
+  peer_reply_propose (b.deferred_reply, &result); /* after the timeout: must not report twice */
   step (STEP_MS);
   assert_int_equal (o.calls, 1);
   propose (&a, 2, &o);
   step (STEP_MS);
-  peer_reply_refuse (b.held);
+  peer_reply_refuse (b.deferred_reply);
   step (STEP_MS);
   assert_true (o.calls == 1 && o.kind == STATUS_OVERLOADED);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* The peer dies with a call in hand: one failure, "unknown"; the next call fails as "not run".  */
+/* The peer dies during a call: one failure, OUTCOME_UNKNOWN; the next call is not executed.  */
 static void
 test_peer_dies_during_call (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   struct outcome next;
   (void)state;
   open_pair (&a, &b);
-  b.hold = true;
+  b.defer_reply = true;
   propose (&a, 2, &o);
   step (STEP_MS);
   assert_int_equal (b.proposals, 1);
-  close_end (&b);
+  close_endpoint (&b);
   step (STEP_MS);
   assert_true (o.calls == 1 && o.kind == STATUS_OUTCOME_UNKNOWN);
   assert_int_equal (a.losses, 1);
@@ -370,78 +370,78 @@
   step (CALL_TIMEOUT_MS * 2);
   assert_true (next.calls == 1 && next.kind == STATUS_NO_QUORUM);
   assert_int_equal (o.calls, 1);
-  peer_reply_refuse (b.held); /* the handle outlives its connection */
-  close_end (&a);
+  peer_reply_refuse (b.deferred_reply); /* the handle outlives its connection */
+  close_endpoint (&a);
 }
 
-/* A restarted VM is let in under its new incarnation; its earlier life is then refused.  */
+/* A restarted VM is accepted with its new incarnation; its earlier incarnation is then refused.  */
 static void
 test_restart_with_new_incarnation (void **state)
 {
-  struct end a;
-  struct end b;
-  struct end old;
+  struct endpoint a;
+  struct endpoint b;
+  struct endpoint old;
   (void)state;
   open_pair (&a, &b);
-  close_end (&b);
+  close_endpoint (&b);
   step (STEP_MS);
-  open_end (&b, "huron", "vm-b", 22, 200); /* replaced disk: new node */
+  open_endpoint (&b, "huron", "vm-b", 22, 200); /* replaced disk: new node */
   set_peer_port (&a, "vm-b", 0, peer_net_port (b.net));
   set_peer_port (&b, "vm-a", 1, peer_net_port (a.net));
   await_connected (&a, 22);
   await_connected (&b, 1);
   assert_int_equal (a.last_hello.incarnation, 200);
-  open_end (&old, "huron", "vm-b", 2, 100);
+  open_endpoint (&old, "huron", "vm-b", 2, 100);
   set_peer_port (&old, "vm-a", 1, peer_net_port (a.net));
   step (5000);
   assert_false (connected (&old, 1));
-  assert_true (peer_net_refused (a.net) > 0);
+  assert_true (peer_net_refusals (a.net) > 0);
   assert_true (info_of (&a, 22).stats.refused_hellos > 0);
   assert_true (connected (&a, 22) && connected (&b, 1));
-  close_end (&old);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&old);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
 static void
-refused_case (const char *deployment, const char *vm, uint64_t node)
+expect_refused_hello (const char *deployment, const char *vm, uint64_t node)
 {
-  struct end a;
-  struct end b;
-  open_end (&a, "huron", "vm-a", 1, 100);
-  open_end (&b, deployment, vm, node, 100);
+  struct endpoint a;
+  struct endpoint b;
+  open_endpoint (&a, "huron", "vm-a", 1, 100);
+  open_endpoint (&b, deployment, vm, node, 100);
   set_peer_port (&a, "vm-c", 3, 9);
   set_peer_port (&a, "vm-b", 2, peer_net_port (b.net));
   set_peer_port (&b, "vm-a", 1, peer_net_port (a.net));
   step (3000);
   assert_false (connected (&a, 2));
   assert_false (connected (&b, 1));
-  assert_true (peer_net_refused (a.net) > 0 && peer_net_refused (b.net) > 0);
+  assert_true (peer_net_refusals (a.net) > 0 && peer_net_refusals (b.net) > 0);
   assert_int_equal (a.hellos, 0);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
 static void
 test_refused_hellos (void **state)
 {
   (void)state;
-  refused_case ("kigali", "vm-b", 2); /* another deployment */
-  refused_case ("huron", "vm-x", 2);  /* a stranger at a known address */
-  refused_case ("huron", "vm-b", 3);  /* the node of another VM */
-  refused_case ("huron", "vm-b", 1);  /* our own node */
+  expect_refused_hello ("kigali", "vm-b", 2); /* another deployment */
+  expect_refused_hello ("huron", "vm-x", 2);  /* an unknown VM at a known address */
+  expect_refused_hello ("huron", "vm-b", 3);  /* the node of another VM */
+  expect_refused_hello ("huron", "vm-b", 1);  /* the receiver's own node */
 }
 
 static void
 test_call_before_hello (void **state)
 {
-  struct end a;
+  struct endpoint a;
   struct peer_header h;
   char answer[256];
   size_t len;
   propose_args args = { .group = 1 };
   (void)state;
-  open_end (&a, "huron", "vm-a", 1, 100);
+  open_endpoint (&a, "huron", "vm-a", 1, 100);
   int fd = raw_connect (peer_net_port (a.net));
   char *bytes = peer_encode_call (5, PEER_PROPOSE, &args, PEER_MAX_RECORD_BYTES, &len, NULL);
   assert_int_equal (write (fd, bytes, len), len);
@@ -456,10 +456,10 @@
   assert_int_equal (recv (fd, answer, sizeof answer, MSG_DONTWAIT), 0);
   assert_int_equal (a.proposals, 0);
   close (fd);
-  close_end (&a);
+  close_endpoint (&a);
 }
 
-/* Answers the hello of A's connection as vm-s would; returns its socket.  */
+/* Answers the hello on A's connection as vm-s; returns the socket.  */
 static int
 accept_as_slow_peer (int listen_fd)
 {
@@ -482,13 +482,13 @@
   return fd;
 }
 
-/* One peer stops reading: its queue stays bounded, raft drops the oldest, calls fail at once, the
-   other peer notices nothing, and the connection is closed after the silence limit.  */
+/* One peer stops reading: its queue stays bounded, the oldest raft messages are dropped, calls fail
+   immediately, the other peer is not affected, and the receive timeout closes the connection.  */
 static void
 test_slow_peer (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   struct outcome stuck;
   propose_args args = { .group = 6 };
@@ -503,38 +503,38 @@
     {
       send_raft (&a, 1, 4, term, PEER_CHUNK_BYTES);
       send_raft (&a, 1, 2, term, 10);
-      pump (1);
+      run_loop (1);
     }
   assert_true (info_of (&a, 4).stats.dropped_raft > 0);
   memset (&stuck, 0, sizeof stuck);
   for (int i = 0; i <= PEER_MAX_OPEN_CALLS; i++)
     peer_call_propose (a.net, 4, &args, CALL_TIMEOUT_MS, on_proposed, &stuck);
-  pump (2);
+  run_loop (2);
   assert_true (stuck.calls >= 1 && stuck.kind == STATUS_OVERLOADED);
   propose (&a, 2, &o);
   step (STEP_MS);
   assert_true (o.calls == 1 && o.kind == STATUS_OK);
   assert_int_equal (b.raft, 400);
-  step (PEER_SILENCE_MS + 2 * STEP_MS);
+  step (PEER_RECEIVE_TIMEOUT_MS + 2 * STEP_MS);
   assert_int_equal (info_of (&a, 4).stats.silent_closes, 1);
   assert_int_equal (info_of (&a, 4).connected, false);
   assert_true (connected (&a, 2));
   assert_true (stuck.calls == PEER_MAX_OPEN_CALLS + 1 && stuck.kind == STATUS_NO_QUORUM);
   close (fd);
   close (listen_fd);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* Idle connections stay open, and their traffic stays below half of the 4 KB/s that a VM may spend
-   on control, for 7 peers and with 40 bytes of IP and TCP headers for each message and its ack.  */
+/* Idle connections stay open, and their traffic stays below half of the limit of 4 KB/s for control
+   traffic of a VM, for 7 peers and with 40 bytes of IP and TCP headers per message and ack.  */
 static void
 test_idle_traffic (void **state)
 {
   const int seconds = 20;
   const uint64_t headers = 2 * 52;
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   (void)state;
   open_pair (&a, &b);
   struct peer_stats before = info_of (&a, 2).stats;
@@ -548,13 +548,13 @@
   assert_true (per_second < 2048);
   assert_int_equal (a.losses + b.losses, 0);
   assert_int_equal (after.connects, 1);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* Says hello to A as vm-c would, then sends a call with random arguments.  */
+/* Sends A the hello of vm-c and then a call with random arguments.  */
 static void
-send_bad_call (struct end *a, struct rng *rng)
+send_bad_call (struct endpoint *a, struct rng *rng)
 {
   char deployment[] = "huron";
   char vm[] = "vm-c";
@@ -574,16 +574,16 @@
   bytes[44 + rng_below (rng, 12)] ^= (char)(1U << rng_below (rng, 8));
   assert_true (send (fd, bytes, len, MSG_NOSIGNAL) > 0);
   free (bytes);
-  pump (2);
+  run_loop (2);
   close (fd);
 }
 
-/* Garbage on raw connections, before and after a valid hello, must not disturb a real peer.  */
+/* Malformed input, before and after a valid hello, must not affect a connected peer.  */
 static void
-test_garbage (void **state)
+test_malformed_input (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   struct rng rng;
   char junk[600];
@@ -597,7 +597,7 @@
       for (size_t j = 0; j < len; j++)
         junk[j] = rng_chance (&rng, 0.4) ? 0 : (char)rng_below (&rng, 256);
       assert_true (send (fd, junk, len, MSG_NOSIGNAL) > 0);
-      pump (1);
+      run_loop (1);
       close (fd);
     }
   set_peer_port (&a, "vm-c", 3, 9);
@@ -609,66 +609,66 @@
   step (STEP_MS);
   assert_true (o.calls >= 1 && o.kind == STATUS_OK);
   assert_int_equal (a.losses + b.losses, 0);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* Connections that never say hello are limited and closed, and a real peer still gets in.  */
+/* Connections without a hello are limited and closed, and a peer can still connect.  */
 static void
-test_idle_strangers (void **state)
+test_idle_unknown_senders (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   int fds[100];
   (void)state;
-  open_end (&a, "huron", "vm-a", 1, 100);
+  open_endpoint (&a, "huron", "vm-a", 1, 100);
   for (int i = 0; i < 100; i++)
     fds[i] = raw_connect (peer_net_port (a.net));
-  step (PEER_SILENCE_MS + 3 * STEP_MS);
-  open_end (&b, "huron", "vm-b", 2, 100);
+  step (PEER_RECEIVE_TIMEOUT_MS + 3 * STEP_MS);
+  open_endpoint (&b, "huron", "vm-b", 2, 100);
   set_peer_port (&a, "vm-b", 2, peer_net_port (b.net));
   set_peer_port (&b, "vm-a", 1, peer_net_port (a.net));
   await_connected (&b, 1);
   for (int i = 0; i < 100; i++)
     close (fds[i]);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* A process that was held up, or a VM that was suspended for a moment, must first read what its
-   peers sent meanwhile before it may call them silent.  */
+/* After a pause of the process or VM, input that arrived meanwhile must be read before the receive
+   timeout applies.  */
 static void
 test_late_tick (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   (void)state;
   open_pair (&a, &b);
-  manual_clock_advance (&clk, PEER_SILENCE_MS + 1000);
+  manual_clock_advance (&clk, PEER_RECEIVE_TIMEOUT_MS + 1000);
   step (2000);
   assert_int_equal (a.losses + b.losses, 0);
   assert_int_equal (info_of (&a, 2).stats.connects, 1);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
 static void
 remove_sender (void *arg, const struct peer_info *from, const raft_message *m)
 {
-  struct end *e = arg;
+  struct endpoint *e = arg;
   (void)m;
   e->raft++;
   peer_net_remove_peer (e->net, from->name);
-  assert_string_equal (from->name, "vm-b"); /* still readable after the removal */
+  assert_string_equal (from->name, "vm-b"); /* still valid after the removal */
 }
 
-/* A handler may remove the very peer it was called for; a removed peer is a stranger, and a peer
-   that moved is found at its new address.  */
+/* A handler may remove the peer it was called for; a removed peer is refused as unknown, and a peer
+   whose address changed is dialed at the new address.  */
 static void
-test_changes_of_the_list (void **state)
+test_peer_list_changes (void **state)
 {
-  struct end a;
-  struct end b;
+  struct endpoint a;
+  struct endpoint b;
   struct outcome o;
   (void)state;
   open_pair (&a, &b);
@@ -682,25 +682,25 @@
   assert_int_equal (peer_net_peer_count (a.net), 0);
   step (3000);
   assert_false (connected (&b, 1));
-  assert_true (peer_net_refused (a.net) > 0);
+  assert_true (peer_net_refusals (a.net) > 0);
   set_peer_port (&a, "vm-b", 2, 9);
   await_connected (&b, 1);
   assert_false (connected (&a, 2));
   set_peer_port (&a, "vm-b", 2, peer_net_port (b.net));
   await_connected (&a, 2);
-  close_end (&a);
-  close_end (&b);
+  close_endpoint (&a);
+  close_endpoint (&b);
 }
 
-/* Peers that are down are dialed with growing, jittered pauses, at most 2 s apart.  */
+/* Peers that are down are dialed with increasing, jittered delays of at most 2 s.  */
 static void
 test_backoff (void **state)
 {
-  struct end a;
+  struct endpoint a;
   int port;
   int accepted = 0;
   (void)state;
-  open_end (&a, "huron", "vm-a", 1, 100);
+  open_endpoint (&a, "huron", "vm-a", 1, 100);
   int listen_fd = raw_listen (&port);
   set_peer_port (&a, "vm-b", 2, port);
   for (int i = 0; i < 200; i++)
@@ -713,10 +713,10 @@
           close (fd);
         }
     }
-  /* 20 s: a pause is 1 to 2 s once it has grown, so 10 to 20 dials and a few quick ones.  */
+  /* 20 s at the maximum delay of 1 to 2 s give 10 to 20 dials, plus a few shorter ones at first. */
   assert_in_range (accepted, 10, 26);
   close (listen_fd);
-  close_end (&a);
+  close_endpoint (&a);
 }
 
 static int
@@ -724,7 +724,7 @@
 {
   (void)state;
   manual_clock_init (&clk, 1000);
-  memset (open_ends, 0, sizeof open_ends);
+  memset (open_endpoints, 0, sizeof open_endpoints);
   loop = ev_loop_new (EVFLAG_AUTO);
   return 0;
 }
@@ -750,10 +750,10 @@
     cmocka_unit_test_setup_teardown (test_call_before_hello, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_slow_peer, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_idle_traffic, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_garbage, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_idle_strangers, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_malformed_input, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_idle_unknown_senders, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_late_tick, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_changes_of_the_list, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_peer_list_changes, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_backoff, set_up, tear_down),
   };
   return cmocka_run_group_tests (tests, NULL, NULL);
