--- a/src/base/buffer.c
+++ b/src/base/buffer.c
@@ -8,7 +8,7 @@
 #define MIN_CAPACITY 64
 
 static void *
-check (void *p)
+check_allocated (void *p)
 {
   if (p)
     return p;
@@ -19,25 +19,25 @@
 void *
 xmalloc (size_t size)
 {
-  return check (malloc (size ? size : 1));
+  return check_allocated (malloc (size ? size : 1));
 }
 
 void *
 xcalloc (size_t count, size_t size)
 {
-  return check (calloc (count ? count : 1, size ? size : 1));
+  return check_allocated (calloc (count ? count : 1, size ? size : 1));
 }
 
 void *
 xrealloc (void *p, size_t size)
 {
-  return check (realloc (p, size ? size : 1));
+  return check_allocated (realloc (p, size ? size : 1));
 }
 
 char *
 xstrdup (const char *s)
 {
-  return check (strdup (s));
+  return check_allocated (strdup (s));
 }
 
 void
--- a/src/base/counters.h
+++ b/src/base/counters.h
@@ -1,7 +1,7 @@
-/* counters: the process's own counters, gauges and fixed-bucket latency histograms.
+/* counters: counters, gauges and fixed-bucket latency histograms of the process.
 
-   A counter is registered once, by a static struct beside the code that counts, and served in the
-   Prometheus text format.  One thread, so plain integers.  */
+   A counter is a static struct next to the code that counts, registered on first use and served in
+   the Prometheus text format.  The process has one thread, so values are plain integers.  */
 
 #ifndef SASSAFRAS_COUNTERS_H
 #define SASSAFRAS_COUNTERS_H
@@ -17,8 +17,8 @@
 struct counter
 {
   const char *name; /* Prometheus name, for example "sassafras_requests_total" */
-  const char *help; /* one line for operators */
-  bool is_gauge;    /* may go down */
+  const char *help; /* HELP text, one line */
+  bool is_gauge;    /* may decrease */
   int64_t value;
   bool registered;
   STAILQ_ENTRY (counter) link;
@@ -37,10 +37,10 @@
 
 void counter_add (struct counter *c, int64_t n);     /* Adds N and registers C on first use. */
 void counter_set (struct counter *c, int64_t value); /* Sets a gauge. */
-void histogram_add (struct histogram *h, double ms); /* Records one duration in ms. */
+void histogram_add (struct histogram *h, double ms); /* Records one duration. */
 double histogram_quantile (const struct histogram *h,
                            double q);     /* Upper bound of the bucket that holds quantile Q. */
 double histogram_bound_ms (int bucket);   /* Upper bound of a bucket in ms. */
-void counters_write (struct buffer *out); /* All, in the Prometheus text format. */
+void counters_write (struct buffer *out); /* In the Prometheus text format. */
 
 #endif
--- a/src/base/incarnation.c
+++ b/src/base/incarnation.c
@@ -32,7 +32,7 @@
   return last;
 }
 
-/* Writes and syncs a new file, then puts it in place of the old one.  */
+/* Writes and syncs a temporary file, then renames it over PATH.  */
 static int
 write_next (const char *path, uint64_t value, struct status *st)
 {
--- a/src/base/json_check.c
+++ b/src/base/json_check.c
@@ -37,8 +37,8 @@
     }
 }
 
-/* Makes a text that was cut at a byte limit fit for one line of output: no half of a UTF-8
-   character at its end and no control character from the file.  */
+/* Sanitizes a text that was truncated at a byte limit for one line of output: removes a partial
+   UTF-8 character at its end and replaces control characters.  */
 static void
 clean_text (char *text)
 {
--- a/src/base/json_check.h
+++ b/src/base/json_check.h
@@ -1,8 +1,8 @@
-/* json_check: checks JSON files that people edit, and reports every fault at once.
+/* json_check: validates hand-edited JSON files and reports all faults at once.
 
-   A check walks a document with a path of keys and array positions.  Each fault carries the file,
-   the line of the value, its JSON path and the reason.  jansson reports positions for syntax errors
-   only; for other faults the line is found by walking the text along the path.  */
+   A check walks a document along a path of keys and array indexes.  Each fault has the file, the
+   line of the value, its JSON path and the reason.  jansson gives positions for syntax errors only;
+   for other faults json_locate finds the line by following the path through the text.  */
 
 #ifndef SASSAFRAS_JSON_CHECK_H
 #define SASSAFRAS_JSON_CHECK_H
@@ -16,14 +16,14 @@
 #include "buffer.h"
 #include "status.h"
 
-#define JSON_MAX_FAULTS 200 /* further faults are counted, not listed; the rest helps nobody */
+#define JSON_MAX_FAULTS 200 /* further faults are only counted; more are of no use to a reader */
 #define JSON_PATH_BYTES 160
 #define JSON_PATH_DEPTH 8
 
-/* One document.  */
+/* A document to check.  */
 struct json_source
 {
-  const char *name; /* for messages */
+  const char *name; /* shown in messages */
   const char *text;
   size_t len;
 };
@@ -31,7 +31,7 @@
 struct json_fault
 {
   char file[256];
-  int line;                   /* 1 and up; 0 when unknown */
+  int line;                   /* from 1; 0 when unknown */
   char path[JSON_PATH_BYTES]; /* for example $.plans[2].weight */
   char reason[STATUS_MESSAGE_BYTES];
 };
@@ -43,24 +43,24 @@
   size_t dropped; /* faults beyond JSON_MAX_FAULTS */
 };
 
-/* One step of a path: a key, or a position in an array when the key is NULL.  */
+/* One step of a path: a key, or an array index when the key is NULL.  */
 struct json_step
 {
   const char *key;
   size_t index;
 };
 
-/* Where the last fault was found: element INDEX of the array that is member KEY of the root.  The
-   next one is usually behind it, so the text is walked once and not once per fault.  */
+/* Position of the last fault: element INDEX of the array that is member KEY of the root.  The next
+   fault usually follows it, so the text is scanned once instead of once per fault.  */
 struct json_position
 {
-  const char *key; /* NULL: none yet */
+  const char *key; /* NULL: no position yet */
   size_t index;
-  size_t at; /* bytes from the start */
+  size_t at; /* byte offset */
   int line;
 };
 
-/* A check under way.  */
+/* State of one check.  */
 struct json_check
 {
   const struct json_source *source;
@@ -71,20 +71,20 @@
 };
 
 json_t *json_check_load (struct json_check *c, const struct json_source *source,
-                         struct json_faults *faults); /* Starts; NULL after a syntax error. */
-void json_check_key (struct json_check *c, const char *key); /* Steps into a member. */
-void json_check_index (struct json_check *c, size_t index);  /* Steps into an array element. */
-void json_check_leave (struct json_check *c);                /* One step back. */
+                         struct json_faults *faults);        /* Parses; NULL on a syntax error. */
+void json_check_key (struct json_check *c, const char *key); /* Enters a member. */
+void json_check_index (struct json_check *c, size_t index);  /* Enters an array element. */
+void json_check_leave (struct json_check *c);                /* Leaves it again. */
 void json_check_fault (struct json_check *c, const char *format, ...)
     __attribute__ ((format (printf, 2, 3))); /* Reports a fault at the current path. */
 void json_check_fault_at (struct json_check *c, const char *key, const char *format, ...)
     __attribute__ ((format (printf, 3, 4))); /* Reports a fault of member KEY. */
 bool json_check_object (struct json_check *c, const json_t *value,
-                        const char *const *allowed); /* An object with these fields only. */
+                        const char *const *allowed); /* Is an object; other fields are faults. */
 json_t *json_check_array (struct json_check *c, const json_t *object, const char *key,
                           bool required, size_t limit); /* Array member, or NULL. */
 bool json_check_int (struct json_check *c, const json_t *object, const char *key, int64_t lo,
-                     int64_t hi, int64_t *out); /* Required whole number in [LO, HI]. */
+                     int64_t hi, int64_t *out); /* Required integer in [LO, HI]. */
 bool json_check_bool (struct json_check *c, const json_t *object, const char *key, bool missing,
                       bool *out); /* Optional; MISSING when absent. */
 bool json_check_name (struct json_check *c, const json_t *object, const char *key, char *out,
--- a/src/base/json_fields.h
+++ b/src/base/json_fields.h
@@ -1,6 +1,6 @@
-/* json_fields: reads the fields of a JSON object and names the first one that is wrong.
+/* json_fields: reads the fields of a JSON object and reports the first invalid one.
 
-   Strings belong to the object.  After the first fault every further read returns a default.  */
+   Strings are owned by the object.  After the first fault all further reads return defaults.  */
 
 #ifndef SASSAFRAS_JSON_FIELDS_H
 #define SASSAFRAS_JSON_FIELDS_H
@@ -21,7 +21,7 @@
 };
 
 struct json_fields json_fields_begin (json_t *object,
-                                      struct status *st); /* Fails unless an object. */
+                                      struct status *st); /* Fails when not an object. */
 const char *json_field_string (struct json_fields *f, const char *name,
                                size_t max); /* Required, 1 to MAX bytes. */
 const char *json_field_string_or (struct json_fields *f, const char *name, size_t max,
--- a/src/base/json_locate.c
+++ b/src/base/json_locate.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* Position in a text that jansson has accepted; every read is still checked against the end.  */
+/* Position in a text that jansson has accepted; reads are bounds-checked nevertheless.  */
 struct cursor
 {
   const char *text;
@@ -17,7 +17,7 @@
 }
 
 static bool
-one_of (char ch, const char *set)
+is_one_of (char ch, const char *set)
 {
   return ch != '\0' && strchr (set, ch) != NULL;
 }
@@ -25,7 +25,7 @@
 static void
 skip_space (struct cursor *c)
 {
-  while (one_of (peek (c), " \t\r\n"))
+  while (is_one_of (peek (c), " \t\r\n"))
     c->at++;
 }
 
@@ -46,7 +46,7 @@
   while (c->at < c->len)
     {
       char ch = peek (c);
-      if (open == 0 && one_of (ch, ",]} \t\r\n"))
+      if (open == 0 && is_one_of (ch, ",]} \t\r\n"))
         return;
       if (ch == '"')
         skip_string (c);
@@ -56,12 +56,12 @@
         open++;
       else if (ch == '}' || ch == ']')
         open--;
-      if (open == 0 && one_of (ch, "\"]}"))
+      if (open == 0 && is_one_of (ch, "\"]}"))
         return;
     }
 }
 
-/* Moves behind the separator of the current element; false at the end of the container.  */
+/* Advances past the separator to the next element; false at the end of the container.  */
 static bool
 next_element (struct cursor *c)
 {
@@ -73,7 +73,7 @@
   return true;
 }
 
-/* Moves COUNT elements of an array forward.  */
+/* Skips COUNT elements of an array.  */
 static bool
 skip_elements (struct cursor *c, size_t count)
 {
@@ -143,15 +143,15 @@
   return lines;
 }
 
-/* True when the path leads to the element of LAST or to one behind it.  */
+/* True when the path leads to the element of LAST or to a later one.  */
 static bool
-starts_at (const struct json_position *last, const struct json_step *steps, size_t depth)
+can_resume (const struct json_position *last, const struct json_step *steps, size_t depth)
 {
   return last && last->key && depth >= 2 && steps[0].key && !steps[1].key
          && strcmp (steps[0].key, last->key) == 0 && steps[1].index >= last->index;
 }
 
-/* Goes from LAST to the element that the first two steps name.  */
+/* Advances from LAST to the element that the first two steps name.  */
 static bool
 resume (struct cursor *c, struct json_position *last, const struct json_step *steps)
 {
@@ -160,7 +160,7 @@
 }
 
 static void
-remember (struct json_position *last, const struct json_step *steps, size_t at, int line)
+save_position (struct json_position *last, const struct json_step *steps, size_t at, int line)
 {
   last->key = steps[0].key;
   last->index = steps[1].index;
@@ -168,7 +168,7 @@
   last->line = line;
 }
 
-/* The line of the deepest part of the path that exists.  */
+/* Returns the line of the deepest existing part of the path.  */
 int
 json_locate (const char *text, size_t len, const struct json_step *steps, size_t depth,
              struct json_position *last)
@@ -177,11 +177,11 @@
   size_t from = 0;
   size_t i = 0;
   int line = 1;
-  if (starts_at (last, steps, depth) && resume (&c, last, steps))
+  if (can_resume (last, steps, depth) && resume (&c, last, steps))
     {
       line = last->line + count_lines (text, last->at, c.at);
       from = c.at;
-      remember (last, steps, c.at, line);
+      save_position (last, steps, c.at, line);
       i = 2;
     }
   else
@@ -197,7 +197,7 @@
         break;
       found = steps[i].key ? key_at : c.at;
       if (last && i == 1 && steps[0].key && !steps[1].key && found < len)
-        remember (last, steps, found, line + count_lines (text, from, found));
+        save_position (last, steps, found, line + count_lines (text, from, found));
     }
   return line + count_lines (text, from, found < len ? found : len);
 }
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -13,8 +13,8 @@
 
 #define LINE_BYTES 1024
 
-/* One logger per process: log lines come from every module, and passing a handle everywhere would
-   only repeat the same pointer.  */
+/* Global: every module logs, and passing a handle everywhere would only repeat the same
+   pointer.  */
 static struct log_config current = { .level = LOG_INFO };
 
 static const char *const level_names[] = { "error", "warn", "info", "debug" };
@@ -79,39 +79,39 @@
              current.vm, current.data_centre, text);
 }
 
-/* Events that wait for log_flush.  */
+/* Events buffered for log_flush.  */
 static struct
 {
   char bytes[LOG_BUFFER_BYTES];
   size_t len;
-  unsigned lines;    /* in BYTES */
-  time_t second;     /* the second that KEPT counts */
-  unsigned kept;     /* lines in that second */
+  unsigned lines;    /* number of lines in BYTES */
+  time_t second;     /* start of the one-second window */
+  unsigned accepted; /* lines accepted in that second */
   uint64_t left_out; /* lines dropped and not yet reported */
-  bool nonblocking;  /* standard output was set so */
+  bool nonblocking;  /* O_NONBLOCK was set on standard output */
 } events;
 
-/* Lines of single runs are the most by far; they must not take the room of a lost worker's line. */
+/* Lines about single runs are by far the most frequent and must not displace a lost worker's. */
 static unsigned
-most_lines (enum log_level level)
+max_lines (enum log_level level)
 {
   return level <= LOG_WARN ? LOG_EVENTS_PER_S + LOG_WARNINGS_PER_S : LOG_EVENTS_PER_S;
 }
 
 static bool
-may_keep (enum log_level level, time_t now)
+accept_line (enum log_level level, time_t now)
 {
   if (now != events.second)
     {
       events.second = now;
-      events.kept = 0;
+      events.accepted = 0;
     }
-  if (events.kept >= most_lines (level) || events.len + LINE_BYTES + 128 > sizeof events.bytes)
+  if (events.accepted >= max_lines (level) || events.len + LINE_BYTES + 128 > sizeof events.bytes)
     {
       events.left_out++;
       return false;
     }
-  events.kept++;
+  events.accepted++;
   return true;
 }
 
@@ -133,7 +133,7 @@
 {
   char text[LINE_BYTES];
   va_list args;
-  if (level > current.level || !may_keep (level, time (NULL)))
+  if (level > current.level || !accept_line (level, time (NULL)))
     return;
   va_start (args, format);
   vsnprintf (text, sizeof text, format, args);
@@ -150,7 +150,7 @@
     fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-/* What was left out since the last report; after a write, when there is room for the line.  */
+/* Reports the lines dropped since the last report; called when a write has emptied the buffer.  */
 static void
 report_left_out (void)
 {
--- a/src/base/members.c
+++ b/src/base/members.c
@@ -89,12 +89,12 @@
 }
 
 static bool
-same (const char *a, const char *b)
+set_and_equal (const char *a, const char *b)
 {
   return a && b && a[0] && strcmp (a, b) == 0;
 }
 
-/* Faults between member I and the members before it.  */
+/* Reports conflicts of member I with earlier members.  */
 static void
 check_against_earlier (struct json_check *c, const struct member_list *list, size_t i)
 {
@@ -102,13 +102,14 @@
   for (size_t k = 0; k < i; k++)
     {
       const registry_member *other = &list->items[k];
-      if (same (m->vm, other->vm))
+      if (set_and_equal (m->vm, other->vm))
         json_check_fault_at (c, "vm", "VM '%s' is listed twice", m->vm);
       if (m->node != 0 && m->node == other->node)
         json_check_fault_at (c, "node", "members %zu and %zu have the same node", k, i);
-      if (same (m->peer, other->peer))
+      if (set_and_equal (m->peer, other->peer))
         json_check_fault_at (c, "peer", "VM '%s' has the same address", other->vm);
-      if (same (m->data_centre, other->data_centre) && strcmp (m->region, other->region) != 0)
+      if (set_and_equal (m->data_centre, other->data_centre)
+          && strcmp (m->region, other->region) != 0)
         json_check_fault_at (c, "region", "VM '%s' of the same data centre is in region '%s'",
                              other->vm, other->region);
     }
@@ -118,7 +119,7 @@
 has_data_centre (const struct member_list *list, const char *name)
 {
   for (size_t i = 0; i < list->count; i++)
-    if (same (list->items[i].data_centre, name))
+    if (set_and_equal (list->items[i].data_centre, name))
       return true;
   return false;
 }
--- a/src/base/members.h
+++ b/src/base/members.h
@@ -1,12 +1,12 @@
-/* members: the members file (JSON), and members as JSON in the operators' API.
+/* members: the members file (JSON), and members as JSON in the operator API.
 
    { "members": [ { "vm": "huron-a-1", "data_centre": "huron-a", "region": "huron",
                     "peer": "10.0.1.1:7403", "backend": "10.0.1.1:7401",
                     "operators": "10.0.1.1:7402", "registry_voter": true, "cells": ["huron-a"],
                     "node": 1 } ] }
 
-   "cells" names the data centres in whose cell the VM votes (default: none), "node" is the member
-   id (default: the position in the file, from 1).  Every fault of a file is reported at once.  */
+   "cells" lists the data centres in whose cells the VM votes (default: none), "node" is the member
+   id (default: the position in the file, from 1).  All faults of a file are reported at once.  */
 
 #ifndef SASSAFRAS_MEMBERS_H
 #define SASSAFRAS_MEMBERS_H
@@ -23,13 +23,13 @@
 };
 
 int members_parse (const struct json_source *source, struct member_list *out,
-                   struct json_faults *faults); /* -1 and FAULTS when the file is refused. */
+                   struct json_faults *faults); /* -1 and FAULTS when invalid. */
 void members_close (struct member_list *list);  /* Frees the list. */
 const registry_member *members_find (const struct member_list *list,
-                                     const char *vm); /* Member by VM name, or NULL. */
-json_t *member_json (const registry_member *m);       /* New object, as in the file. */
+                                     const char *vm); /* By VM name; NULL: none. */
+json_t *member_json (const registry_member *m);       /* New object in the file's format. */
 int member_from_json (const json_t *json, registry_member *out,
-                      struct json_faults *faults); /* One member; release with member_free. */
+                      struct json_faults *faults);                    /* Free with member_free. */
 void member_copy (registry_member *out, const registry_member *from); /* Deep copy. */
 void member_free (registry_member *m);                                /* Frees the fields. */
 
--- a/src/base/rng.h
+++ b/src/base/rng.h
@@ -1,4 +1,4 @@
-/* rng: seeded generator (splitmix64), passed to whatever needs randomness so that runs repeat.  */
+/* rng: seeded generator (splitmix64), passed as an argument so that runs are reproducible.  */
 
 #ifndef SASSAFRAS_RNG_H
 #define SASSAFRAS_RNG_H
@@ -11,7 +11,7 @@
   uint64_t state;
 };
 
-void rng_init (struct rng *r, uint64_t seed);       /* Starts the sequence of SEED. */
+void rng_init (struct rng *r, uint64_t seed);       /* Seeds the generator. */
 uint64_t rng_next (struct rng *r);                  /* Next 64 random bits. */
 uint64_t rng_below (struct rng *r, uint64_t bound); /* Uniform in [0, BOUND); 0 when BOUND is 0. */
 double rng_unit (struct rng *r);                    /* Uniform in [0, 1). */
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -1,9 +1,9 @@
-/* settings: what sassafrasd is told at its start.
+/* settings: startup configuration of sassafrasd.
 
    Each flag --NAME is also read from the environment variable SASSAFRAS_NAME (upper case, hyphens
-   as underscores); the flag takes precedence.  Every setting out of its range is reported, with its
-   name, the value and the allowed range; nothing is corrected silently.  Listen addresses that are
-   not set are those of this VM in the members file.  */
+   as underscores); the flag takes precedence.  Every setting out of range is reported with its
+   name, value and allowed range; no value is corrected silently.  Listen addresses that are not set
+   default to those of this VM in the members file.  */
 
 #ifndef SASSAFRAS_SETTINGS_H
 #define SASSAFRAS_SETTINGS_H
@@ -42,7 +42,7 @@
   struct member_list members; /* read from members_file */
 };
 
-/* What to do after settings_read.  */
+/* Action after settings_read.  */
 enum settings_action
 {
   SETTINGS_RUN,   /* run the daemon */
@@ -51,9 +51,10 @@
 };
 
 enum settings_action settings_read (struct settings *s, int argc, char **argv,
-                                    struct buffer *out); /* Reads flags, environment and files. */
+                                    struct buffer *out); /* From flags, environment and files. */
 void settings_close (struct settings *s);                /* Frees the members. */
-int settings_read_file (const char *path, size_t limit, struct buffer *out,
-                        struct status *st); /* Whole file; -1 when missing or over LIMIT bytes. */
+int
+settings_read_file (const char *path, size_t limit, struct buffer *out,
+                    struct status *st); /* Reads a file of at most LIMIT bytes; -1 on failure. */
 
 #endif
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -134,10 +134,10 @@
   return 0;
 }
 
-/* Reads a file that a setting names; false and a fault when it cannot be read.  */
+/* Reads the file that a setting names; returns false and reports a fault on failure.  */
 static bool
-load (const char *setting, const char *path, size_t limit, struct buffer *out,
-      struct setting_faults *faults)
+load_file (const char *setting, const char *path, size_t limit, struct buffer *out,
+           struct setting_faults *faults)
 {
   struct status st;
   buffer_init (out);
@@ -169,7 +169,7 @@
   struct json_faults list = { 0 };
   struct buffer text;
   if (!s->members_file[0]
-      || !load ("members-file", s->members_file, MEMBERS_FILE_BYTES, &text, faults))
+      || !load_file ("members-file", s->members_file, MEMBERS_FILE_BYTES, &text, faults))
     return;
   struct json_source source = source_of (s->members_file, &text);
   members_parse (&source, &s->members, &list);
@@ -234,7 +234,7 @@
     setting_fault (faults, "setting 'data-dir': %s: %s", s->data_dir, strerror (errno));
 }
 
-/* Cuts the line end; false when the rest is not one printable word.  */
+/* Strips the line end; false when the rest is not one printable word.  */
 static bool
 token_valid (char *token)
 {
@@ -248,14 +248,14 @@
   return len > 0;
 }
 
-/* The messages never contain the token.  */
+/* Messages must not contain the token.  */
 static void
 read_token (struct settings *s, struct setting_faults *faults)
 {
   struct buffer text;
   struct stat info;
   if (!s->token_file[0]
-      || !load ("token-file", s->token_file, SETTINGS_TOKEN_BYTES - 1, &text, faults))
+      || !load_file ("token-file", s->token_file, SETTINGS_TOKEN_BYTES - 1, &text, faults))
     return;
   if (stat (s->token_file, &info) == 0 && (info.st_mode & S_IROTH))
     setting_fault (faults, "setting 'token-file': %s can be read by every user, allowed: mode 0640",
@@ -283,9 +283,9 @@
       setting_fault (faults, "settings 'plans-file' and 'customers-file' must be set together");
       return;
     }
-  bool have_plans = load ("plans-file", s->plans_file, PLANS_LIST_BYTES, &plans, faults);
+  bool have_plans = load_file ("plans-file", s->plans_file, PLANS_LIST_BYTES, &plans, faults);
   bool have_customers
-      = load ("customers-file", s->customers_file, PLANS_LIST_BYTES, &customers, faults);
+      = load_file ("customers-file", s->customers_file, PLANS_LIST_BYTES, &customers, faults);
   if (have_plans && have_customers)
     {
       struct json_source a = source_of (s->plans_file, &plans);
--- a/src/base/settings_check.h
+++ b/src/base/settings_check.h
@@ -1,4 +1,4 @@
-/* settings_check: reads and checks single settings, and the files they name; for settings.c.  */
+/* settings_check: parses and validates settings and the files they name; used by settings.c.  */
 
 #ifndef SASSAFRAS_SETTINGS_CHECK_H
 #define SASSAFRAS_SETTINGS_CHECK_H
@@ -37,8 +37,8 @@
 void setting_fault (struct setting_faults *faults, const char *format, ...)
     __attribute__ ((format (printf, 2, 3))); /* Reports one fault. */
 void setting_read (struct settings *s, const struct setting *setting, const char *value,
-                   const char *source, struct setting_faults *faults); /* Sets one field. */
+                   const char *source, struct setting_faults *faults); /* Parses one setting. */
 void settings_check_files (struct settings *s, bool lists,
-                           struct setting_faults *faults); /* Members, token, folder, lists. */
+                           struct setting_faults *faults); /* Members, token, data_dir, lists. */
 
 #endif
--- a/src/base/status.h
+++ b/src/base/status.h
@@ -1,8 +1,8 @@
-/* status: one closed list of error kinds and the answer each kind gets.
+/* status: the error kinds and the answer to each of them.
 
-   Every function that can fail fills a struct status.  The kind decides the HTTP status, the exit
-   code of sassafrasctl and what a caller may conclude about its request; the message is for people
-   and names the value that was refused.  */
+   Every function that can fail fills a struct status.  The kind determines the HTTP status, the
+   exit code of sassafrasctl and what a caller may conclude about its request; the message is
+   human-readable and names the refused value.  */
 
 #ifndef SASSAFRAS_STATUS_H
 #define SASSAFRAS_STATUS_H
@@ -23,27 +23,27 @@
   STATUS_UNKNOWN_CUSTOMER,   /* not in the list of customers */
   STATUS_UNKNOWN_PLAN,       /* customer names a plan that is not in the list */
   STATUS_INVALID_LIST,       /* a list failed its check */
-  STATUS_VERSION_CONFLICT,   /* compare-and-set lost; the answer carries the current version */
+  STATUS_VERSION_CONFLICT,   /* compare-and-set failed; the answer has the current version */
   STATUS_NOT_LEADER,         /* another VM leads the group */
   STATUS_NO_QUORUM,          /* not accepted: no leader or no majority */
-  STATUS_OUTCOME_UNKNOWN,    /* may have happened; repeat with the same request id */
-  STATUS_IN_PROGRESS,        /* the same request id is still running */
-  STATUS_OVERLOADED,         /* queue full or capacity used up */
+  STATUS_OUTCOME_UNKNOWN,    /* may have been executed; repeat with the same request id */
+  STATUS_IN_PROGRESS,        /* a request with this id is still running */
+  STATUS_OVERLOADED,         /* queue full or capacity exhausted */
   STATUS_LIMIT_EXCEEDED,     /* the customer's plan limit is reached */
   STATUS_DEADLINE_EXCEEDED,  /* the caller's deadline passed */
   STATUS_NO_BACKEND,         /* no backend server can take the request */
   STATUS_BACKEND_FAILED,     /* the backend server failed the request */
   STATUS_BACKEND_TRUNCATED,  /* the backend server's answer ended early */
-  STATUS_UNSATISFIABLE,      /* the job can never fit any worker or plan */
-  STATUS_DATA_CENTRE_OUT,    /* the data centre is out */
+  STATUS_UNSATISFIABLE,      /* no worker or plan can ever fit the job */
+  STATUS_DATA_CENTRE_OUT,    /* the data centre is out of service */
   STATUS_STALE_EPOCH,        /* report or command with an old epoch */
-  STATUS_STALE_INCARNATION,  /* message from an earlier life of a process */
+  STATUS_STALE_INCARNATION,  /* message from an earlier incarnation of a process */
   STATUS_SHUTTING_DOWN,      /* graceful shutdown has begun */
   STATUS_TIMEOUT,            /* no answer in time */
-  STATUS_DISK_FAILED,        /* write or fsync failed; nothing is acknowledged any more */
+  STATUS_DISK_FAILED,        /* write or fsync failed; no further acknowledgements */
   STATUS_JOURNAL_DAMAGED,    /* a record inside the journal fails its checksum */
   STATUS_INVALID_SETTING,    /* flag or environment variable out of range */
-  STATUS_INTERNAL,           /* a fault in this program */
+  STATUS_INTERNAL,           /* bug in this program */
   STATUS_KINDS
 };
 
@@ -58,7 +58,7 @@
 struct status
 {
   enum status_kind kind;
-  char message[STATUS_MESSAGE_BYTES]; /* the last message, empty when OK */
+  char message[STATUS_MESSAGE_BYTES]; /* empty when OK */
 };
 
 /* The answer to one kind of error.  */
@@ -71,7 +71,7 @@
   bool may_retry;      /* a later identical request may succeed */
 };
 
-const struct status_answer *status_answer (enum status_kind kind); /* Row of the table for KIND. */
+const struct status_answer *status_answer (enum status_kind kind); /* Answer to KIND. */
 enum status_kind
 status_kind_from_name (const char *name); /* Inverse of name; STATUS_INTERNAL when unknown. */
 const char *status_ran_name (enum status_ran ran); /* "no", "yes" or "unknown". */
--- a/tests/test_counters.c
+++ b/tests/test_counters.c
@@ -1,4 +1,4 @@
-/* Guards against a histogram that loses samples or a metrics page that does not parse.  */
+/* Guards against a histogram that loses samples and against malformed Prometheus text.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_incarnation.c
+++ b/tests/test_incarnation.c
@@ -1,5 +1,4 @@
-/* Guards against a VM that its peers refuse after its wall clock stepped back between two starts.
- */
+/* Guards against a VM that peers refuse because its wall clock stepped back between two starts.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -1,5 +1,5 @@
-/* The bounded event log.  Guards against lines of single runs that take the room of a warning when
-   there is more to say than may be written.  */
+/* Guards against a warning that is dropped because lines about single runs have used up the limit
+   of the event log.  */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -17,9 +17,9 @@
 #define OVERFLOW_LINES 3000
 #define FLUSH_EVERY 500
 
-/* Writes too many lines and a warning to a file; returns what the file holds.  */
+/* Logs more lines than the limit and a warning to a file; returns the file's contents.  */
 static char *
-overflow (size_t *lines)
+write_overflow (size_t *lines)
 {
   char path[] = "/tmp/test-log-XXXXXX";
   int file = mkstemp (path);
@@ -55,10 +55,10 @@
   size_t lines;
   (void)state;
   log_configure (&config);
-  char *text = overflow (&lines);
+  char *text = write_overflow (&lines);
   assert_non_null (strstr (text, "event=lost worker=w1"));
   assert_non_null (strstr (text, "event=lines-left-out"));
-  /* The loop may run across the end of a second.  */
+  /* The loop may span two seconds.  */
   assert_true (lines <= 2 * (LOG_EVENTS_PER_S + LOG_WARNINGS_PER_S));
   assert_true (lines < LOG_EVENTS_PER_S + OVERFLOW_LINES);
   free (text);
--- a/tests/test_members.c
+++ b/tests/test_members.c
@@ -1,5 +1,5 @@
-/* Guards against a members file with a fault (a VM, node or address twice, no voter, a cell that
-   exists nowhere) that reaches the daemon, and against a crash on a damaged file.  */
+/* Guards against accepting an invalid members file (duplicate VM, node or address, no voter,
+   unknown cell) and against a crash on a corrupt file.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Guards against a setting out of its range that is taken, a flag that loses to the environment,
+/* Guards against accepting a setting out of range, an environment variable that overrides a flag,
    faults reported one at a time, and a token that appears in a message.  */
 #include <setjmp.h>
 #include <stdarg.h>
@@ -58,7 +58,7 @@
   return rmdir (folder);
 }
 
-/* Reads settings from the flags of a good VM and more flags, ended by NULL.  */
+/* Reads settings from valid flags plus MORE, which ends with NULL.  */
 static enum settings_action
 read_with (struct settings *s, struct buffer *out, const char *const *more)
 {
@@ -138,7 +138,7 @@
   buffer_close (&out);
 }
 
-/* One wrong flag and the message it must cause.  */
+/* An invalid flag must be refused with the EXPECTED message.  */
 static void
 refuse (const char *flag, const char *value, const char *expected)
 {
--- a/tests/test_status.c
+++ b/tests/test_status.c
@@ -1,4 +1,4 @@
-/* Guards against an error kind without a row in the table of answers.  */
+/* Guards against an error kind without an entry in the table of answers.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
