--- a/tests/test_incarnation.c
+++ b/tests/test_incarnation.c
@@ -1,5 +1,4 @@
-/* Guards against a VM that its peers refuse after its wall clock stepped back between two starts.
- */
+/* Guards against a VM that peers refuse because its wall clock stepped back between two starts.  */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -28,16 +27,16 @@
   FILE *f = fopen (path, "w");
   fprintf (f, "%lld\n", (long long)FUTURE_MS);
   fclose (f);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_int_equal (incarnation, FUTURE_MS + 1);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_int_equal (incarnation, FUTURE_MS + 2);
   unlink (path);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), 0);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), 0);
   assert_true (incarnation < FUTURE_MS);
   unlink (path);
   rmdir (folder);
-  assert_int_equal (incarnation_take (folder, &incarnation, &st), -1);
+  assert_int_equal (incarnation_next (folder, &incarnation, &st), -1);
   assert_int_equal (st.kind, STATUS_DISK_FAILED);
 }
 
