--- a/bench/fake_worker.h
+++ b/bench/fake_worker.h
@@ -55,7 +55,7 @@
   bool announced;
   bool bad; /* every start fails at once */
   int64_t poll_sent_ms;
-  bool poll_out; /* a poll is on its way or held open */
+  bool poll_pending; /* a poll is on its way or held open */
   int64_t lease_until_ms;
   int64_t covered_until_ms;
   struct fake_task tasks[FAKE_TASKS];
@@ -349,7 +349,7 @@
   w->count = 0;
   w->up = false;
   w->announced = false;
-  w->poll_out = false;
+  w->poll_pending = false;
   w->incarnation++;
   w->sequence = 0;
   w->lease_until_ms = 0;
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -357,7 +357,7 @@
     used += list[i].state == CELL_REPORT_RUNNING ? list[i].used_millicores : 0;
   struct worker_poll p = { w->id, w->incarnation, ++w->sequence, LAG_S * 1000, used, list, count };
   w->poll_sent_ms = s->now_ms;
-  w->poll_out = scheduler_poll (s->sched, s->now_ms, &p, &st) == 0;
+  w->poll_pending = scheduler_poll (s->sched, s->now_ms, &p, &st) == 0;
 }
 
 static void
@@ -389,7 +389,7 @@
   struct status st;
   if (scheduler_answer (s->sched, s->now_ms, w->id, &a, &st) != 0 || !w->up)
     return;
-  w->poll_out = false;
+  w->poll_pending = false;
   fake_renew (w, a.lease_ms, a.covered_lease_ms, w->poll_sent_ms);
   for (size_t i = 0; i < a.count; i++)
     {
@@ -423,7 +423,7 @@
       bool ended = fake_step (w, s->now_ms, STEP_MS);
       if (s->now_ms % 1000 == 0)
         measure (s, w);
-      if (!w->poll_out || ended)
+      if (!w->poll_pending || ended)
         poll_worker (s, w);
     }
 }
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -100,9 +100,9 @@
 {
   struct worker_answer a;
   struct status st;
-  if (!w->poll_out || scheduler_answer (sched, now_ms, w->id, &a, &st) != 0)
+  if (!w->poll_pending || scheduler_answer (sched, now_ms, w->id, &a, &st) != 0)
     return;
-  w->poll_out = false;
+  w->poll_pending = false;
   fake_renew (w, a.lease_ms, a.covered_lease_ms, w->poll_sent_ms);
   for (size_t i = 0; i < a.count; i++)
     {
@@ -131,7 +131,7 @@
     }
   struct worker_poll p = { w->id, w->incarnation, ++w->sequence, 0, 0, list, count };
   w->poll_sent_ms = now_ms;
-  w->poll_out = scheduler_poll (sched, now_ms, &p, &st) == 0;
+  w->poll_pending = scheduler_poll (sched, now_ms, &p, &st) == 0;
 }
 
 static void
@@ -147,7 +147,7 @@
       if (!w->up)
         continue;
       bool ended = fake_step (w, now_ms, STEP_MS);
-      if (!w->poll_out || ended)
+      if (!w->poll_pending || ended)
         poll_worker (w);
     }
   scheduler_tick (sched, now_ms);
@@ -316,7 +316,7 @@
   run_without_polls (6000);
   assert_int_equal (t->state, CELL_RUNNING);
   for (size_t i = 0; i < worker_count; i++)
-    workers[i].announced = workers[i].poll_out = false;
+    workers[i].announced = workers[i].poll_pending = false;
   run_for (1000);
   assert_int_equal (t->epoch, epoch);
   assert_int_equal (t->state, CELL_RUNNING);
@@ -339,7 +339,7 @@
   poll_worker (&workers[0]);
   scheduler_confirm_leadership (sched, now_ms + 1000);
   assert_int_equal (scheduler_answer (sched, now_ms, workers[0].id, &a, &st), 0);
-  workers[0].poll_out = false;
+  workers[0].poll_pending = false;
   assert_true (a.lease_ms > 0);
   return a.covered_lease_ms;
 }
@@ -352,7 +352,7 @@
   (void)state;
   open_cell (1, 4000);
   run_for (1000);
-  workers[0].poll_out = false;
+  workers[0].poll_pending = false;
   assert_true (covered_lease () > 0);
   permit = false;
   scheduler_set_leader (sched, now_ms, false);
--- a/tests/test_scheduler_faults.c
+++ b/tests/test_scheduler_faults.c
@@ -150,7 +150,7 @@
     m.sequence = ++f->sequence;
   m.poll_sent_ms = w->now_ms;
   f->poll_sent_ms = w->now_ms;
-  f->poll_out = true;
+  f->poll_pending = true;
   send_message (w, &m);
 }
 
@@ -170,7 +170,7 @@
       w->down_until_ms[i] = w->now_ms + rng_between (&w->rng, 20, 20000);
       return;
     }
-  if (!f->poll_out || ended || w->now_ms - f->poll_sent_ms > 4000)
+  if (!f->poll_pending || ended || w->now_ms - f->poll_sent_ms > 4000)
     worker_send (w, i);
 }
 
@@ -201,7 +201,7 @@
   if (m->announce)
     {
       f->announced = m->lease_ms != 0;
-      f->poll_out = false;
+      f->poll_pending = false;
       return;
     }
   /* A late answer to an abandoned poll still carries epochs: a worker may act on its commands.  */
@@ -218,7 +218,7 @@
       assert_true (w->now_ms < w->permit_ms);
     }
   if (m->poll_sent_ms == f->poll_sent_ms)
-    f->poll_out = false;
+    f->poll_pending = false;
 }
 
 /* Nodes.  */
