--- a/bench/client_bytes.c
+++ b/bench/client_bytes.c
@@ -1,9 +1,9 @@
-/* Bytes per second on the wire between a worker or runner and its entry, counted by a stand-in for
-   the entry that answers as docs/api.md says.  TCP and IP headers are not part of the figures.
+/* Bytes per second on the wire between a worker or runner and its entry, counted by a minimal
+   entry that answers according to docs/api.md.  TCP and IP headers are excluded.
 
    Usage: bench_client_bytes BUILD-DIR [SECONDS]
 
-   Starts worker_standin with 0, 5, 10 and 40 tasks that run to the end of the measurement, and
+   Starts worker_standin with 0, 5, 10 and 40 tasks that run until the measurement ends, then
    runner_standin.  */
 #include <arpa/inet.h>
 #include <poll.h>
@@ -20,23 +20,23 @@
 #include "buffer.h"
 
 #define MAX_CONNECTIONS 16
-#define HOLD_MS 3000 /* a poll is held for one heartbeat interval */
+#define POLL_HOLD_MS 3000 /* a poll is held for one heartbeat interval */
 #define SETTLE_MS 4000
 
 struct connection
 {
   int fd;
   struct buffer in;
-  long long answer_ms; /* when the held poll is answered, 0 when none is held */
+  long long answer_ms; /* time at which the held poll is answered; 0 if none is held */
 };
 
 struct entry
 {
   int listener;
-  struct connection all[MAX_CONNECTIONS];
+  struct connection connections[MAX_CONNECTIONS];
   int count;
   int tasks;
-  bool started; /* the start commands were sent */
+  bool started; /* start commands have been sent */
   unsigned long long bytes;
   unsigned long requests;
 };
@@ -50,7 +50,7 @@
 }
 
 static void
-answer (struct entry *e, struct connection *c, const char *body)
+send_answer (struct entry *e, struct connection *c, const char *body)
 {
   struct buffer out = { 0 };
   buffer_printf (&out,
@@ -79,31 +79,31 @@
                    i ? "," : "", (1LL << 48) + 100000 + i);
   buffer_printf (&b, "]}");
   e->started = true;
-  answer (e, c, b.data);
+  send_answer (e, c, b.data);
   buffer_close (&b);
   c->answer_ms = 0;
 }
 
-/* Handles one whole request at the front of the input, if there is one.  */
+/* Handles the first complete request in the input; returns false if there is none.  */
 static bool
-handle (struct entry *e, struct connection *c)
+handle_request (struct entry *e, struct connection *c)
 {
   char *end = c->in.data ? strstr (c->in.data, "\r\n\r\n") : NULL;
   const char *length = end ? strcasestr (c->in.data, "content-length:") : NULL;
   if (!length)
     return false;
-  size_t whole = (size_t)(end - c->in.data) + 4 + strtoul (length + 15, NULL, 10);
-  if (c->in.len < whole)
+  size_t request_len = (size_t)(end - c->in.data) + 4 + strtoul (length + 15, NULL, 10);
+  if (c->in.len < request_len)
     return false;
   bool poll_request = strncmp (c->in.data, "POST /v1/workers/poll", 21) == 0;
   bool wait = strstr (end, "\"wait\":1") != NULL;
-  e->bytes += whole;
+  e->bytes += request_len;
   e->requests++;
-  buffer_consume (&c->in, whole);
+  buffer_consume (&c->in, request_len);
   if (!poll_request)
-    answer (e, c, "{\"heartbeat_ms\":3000}");
+    send_answer (e, c, "{\"heartbeat_ms\":3000}");
   else if (wait && e->started)
-    c->answer_ms = now_ms () + HOLD_MS;
+    c->answer_ms = now_ms () + POLL_HOLD_MS;
   else
     answer_poll (e, c);
   return true;
@@ -121,27 +121,28 @@
       return;
     }
   buffer_append (&c->in, block, (size_t)n);
-  while (handle (e, c))
+  while (handle_request (e, c))
     continue;
 }
 
 static void
-step (struct entry *e)
+run_once (struct entry *e)
 {
   struct pollfd p[MAX_CONNECTIONS + 1] = { { .fd = e->listener, .events = POLLIN } };
   int count = e->count;
   for (int i = 0; i < count; i++)
-    p[i + 1] = (struct pollfd){ .fd = e->all[i].fd, .events = POLLIN };
+    p[i + 1] = (struct pollfd){ .fd = e->connections[i].fd, .events = POLLIN };
   poll (p, (nfds_t)count + 1, 10);
   for (int i = 0; i < count; i++)
     {
       if (p[i + 1].revents)
-        read_input (e, &e->all[i]);
-      if (e->all[i].fd >= 0 && e->all[i].answer_ms && now_ms () >= e->all[i].answer_ms)
-        answer_poll (e, &e->all[i]);
+        read_input (e, &e->connections[i]);
+      if (e->connections[i].fd >= 0 && e->connections[i].answer_ms
+          && now_ms () >= e->connections[i].answer_ms)
+        answer_poll (e, &e->connections[i]);
     }
   if (p[0].revents && e->count < MAX_CONNECTIONS)
-    e->all[e->count++] = (struct connection){ .fd = accept (e->listener, NULL, NULL) };
+    e->connections[e->count++] = (struct connection){ .fd = accept (e->listener, NULL, NULL) };
 }
 
 static void
@@ -149,7 +150,7 @@
 {
   long long end = now_ms () + ms;
   while (now_ms () < end)
-    step (e);
+    run_once (e);
 }
 
 static int
@@ -189,9 +190,9 @@
   waitpid (pid, NULL, 0);
   for (int i = 0; i < e.count; i++)
     {
-      if (e.all[i].fd >= 0)
-        close (e.all[i].fd);
-      buffer_close (&e.all[i].in);
+      if (e.connections[i].fd >= 0)
+        close (e.connections[i].fd);
+      buffer_close (&e.connections[i].in);
     }
   close (e.listener);
 }
--- a/bench/control_size.c
+++ b/bench/control_size.c
@@ -1,10 +1,10 @@
-/* Sizes of the control messages and of a cell's state, as functions of the counts they grow with.
+/* Sizes of control messages and of a cell's state as functions of the counts they depend on.
 
    Usage: bench_control_size
 
-   Every table ends with a straight line, base + slope * count, fitted by least squares of the
-   relative distances, and the largest of these.  Bytes are of the encoded body, without the 44
-   bytes of the RPC header and record mark.  Processor time is of this process.  */
+   Every table ends with a linear fit, base + slope * count, by least squares of the relative
+   errors, and the largest relative error.  Bytes are those of the encoded body, without the 44
+   bytes of RPC header and record mark.  CPU time is that of this process.  */
 #include <malloc.h>
 #include <math.h>
 #include <stdio.h>
@@ -22,13 +22,13 @@
 #define DIGEST_ROUNDS 2000
 #define DIGEST_PERIOD_MS 500
 #define PAYLOAD_BYTES 64
-#define REPEATS 3 /* the lowest counts: other load only adds */
+#define REPEATS 3 /* the minimum counts: other load only adds time */
 
 struct line
 {
   double base;
   double slope;
-  double error; /* largest relative distance */
+  double error; /* largest relative error */
 };
 
 static double
@@ -66,7 +66,7 @@
 }
 
 static void
-print (const char *what, const char *unit, const char *count, const double *x, const double *y)
+print_fit (const char *what, const char *unit, const char *count, const double *x, const double *y)
 {
   struct line l = fit (x, y, POINTS);
   printf ("%s:", what);
@@ -109,7 +109,7 @@
   runner_digest_free (&d);
 }
 
-/* Full digest; then digests while every runner's load changes; then digests without a change.  */
+/* Full digest, then digests with every runner's load changed, then a digest without changes.  */
 static void
 measure_digest (int runners, double *full, double *busy, double *idle, double *cpu_us)
 {
@@ -136,7 +136,7 @@
 }
 
 static void
-digests (void)
+measure_digests (void)
 {
   double x[POINTS] = { 0, 64, 256, 700 };
   double full[POINTS];
@@ -145,16 +145,16 @@
   double us[POINTS];
   for (int i = 0; i < POINTS; i++)
     measure_digest ((int)x[i], &full[i], &busy[i], &idle[i], &us[i]);
-  print ("runner digest, full table", "bytes", "runners of the entry", x, full);
-  print ("runner digest, every load changed", "bytes", "runners of the entry", x, busy);
-  print ("runner digest, no change", "bytes", "runners of the entry", x, idle);
-  print ("runner digest, make and handle", "us CPU", "runners of the entry", x, us);
+  print_fit ("runner digest, full table", "bytes", "runners of the entry", x, full);
+  print_fit ("runner digest, every load changed", "bytes", "runners of the entry", x, busy);
+  print_fit ("runner digest, no change", "bytes", "runners of the entry", x, idle);
+  print_fit ("runner digest, make and handle", "us CPU", "runners of the entry", x, us);
 }
 
 /* ---- permits ---- */
 
 static void
-permits (void)
+measure_permits (void)
 {
   double x[POINTS] = { 1, 3, 12, 23 };
   double y[POINTS];
@@ -171,13 +171,13 @@
     }
   permit_request r = { .data_centre = name, .capacity = { .data_centre = name } };
   printf ("permit request: %lu bytes\n", xdr_sizeof ((xdrproc_t)xdr_permit_request, &r));
-  print ("permit grant", "bytes", "cells", x, y);
+  print_fit ("permit grant", "bytes", "cells", x, y);
 }
 
 /* ---- poll of a worker ---- */
 
 static void
-polls (void)
+measure_polls (void)
 {
   double x[POINTS] = { 0, 5, 10, 40 };
   double y[POINTS];
@@ -199,7 +199,7 @@
       free (text);
       json_decref (body);
     }
-  print ("poll of a worker, body", "bytes", "tasks on the worker", x, y);
+  print_fit ("poll of a worker, body", "bytes", "tasks on the worker", x, y);
 }
 
 /* ---- a cell's log and state ---- */
@@ -215,7 +215,7 @@
 }
 
 static void
-apply (struct cell *c, cell_command *cmd, cell_results *r)
+apply_command (struct cell *c, cell_command *cmd, cell_results *r)
 {
   struct buffer b = { 0 };
   struct buffer out = { 0 };
@@ -283,23 +283,23 @@
   for (unsigned i = 0; i < tasks; i++)
     {
       cell_command cmd = submission (i, request, sizeof request);
-      apply (c, &cmd, &r);
+      apply_command (c, &cmd, &r);
       uint64_t task = r.results.results_val[0].task;
       uint64_t epoch = r.results.results_val[0].epoch;
       cell_free_results (&r);
       cmd = placement (task);
       cmd.cell_command_u.place.epoch = epoch;
-      apply (c, &cmd, &r);
+      apply_command (c, &cmd, &r);
       epoch = r.results.results_val[0].epoch;
       cell_free_results (&r);
       cmd = report (task, epoch, CELL_REPORT_RUNNING);
-      apply (c, &cmd, &r);
+      apply_command (c, &cmd, &r);
       cell_free_results (&r);
     }
 }
 
 static void
-entries (void)
+measure_entries (void)
 {
   char request[24];
   struct cell c;
@@ -314,7 +314,7 @@
   cell_close (&c);
 }
 
-/* Processor time to save C and to load its image; returns the bytes of the image.  */
+/* Measures the CPU time to save C and to load its image; returns the size of the image.  */
 static double
 measure_snapshot (const struct cell *c, double *save_ms, double *load_ms)
 {
@@ -341,7 +341,7 @@
 }
 
 static void
-state (void)
+measure_state (void)
 {
   double x[POINTS] = { 3000, 13000, 40000, 80000 };
   double heap[POINTS];
@@ -358,19 +358,19 @@
       bytes[i] = measure_snapshot (&c, &save_ms[i], &load_ms[i]);
       cell_close (&c);
     }
-  print ("cell state, heap", "bytes", "tasks", x, heap);
-  print ("cell snapshot", "bytes", "tasks", x, bytes);
-  print ("cell snapshot, save", "ms CPU", "tasks", x, save_ms);
-  print ("cell snapshot, load", "ms CPU", "tasks", x, load_ms);
+  print_fit ("cell state, heap", "bytes", "tasks", x, heap);
+  print_fit ("cell snapshot", "bytes", "tasks", x, bytes);
+  print_fit ("cell snapshot, save", "ms CPU", "tasks", x, save_ms);
+  print_fit ("cell snapshot, load", "ms CPU", "tasks", x, load_ms);
 }
 
 int
 main (void)
 {
-  digests ();
-  permits ();
-  polls ();
-  entries ();
-  state ();
+  measure_digests ();
+  measure_permits ();
+  measure_polls ();
+  measure_entries ();
+  measure_state ();
   return 0;
 }
--- a/bench/today.sh
+++ b/bench/daemon_cost.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Usage: bench/today.sh [BUILD-DIR [VMS [WORKERS [RUNNERS [SECONDS]]]]]
-# Cost of whole processes on loopback: starts the VMs of VMS ("a:2+1 b:2+1 c:2": two VMs with a disk
-# and one without in a), and prints processor time, memory and bytes between VMs per second for each
-# daemon in three phases: idle; with WORKERS and RUNNERS, spread over the data centres; and, when
-# there are both, under a bounded load of calls and batch jobs.  With no workers and no runners only
-# the idle phase runs.
+# Usage: bench/daemon_cost.sh [BUILD-DIR [VMS [WORKERS [RUNNERS [SECONDS]]]]]
+# Resource use of daemons on loopback: starts the VMs of VMS ("a:2+1 b:2+1 c:2": in a, two VMs with a
+# disk and one without) and prints CPU time, memory and bytes per second between VMs for each daemon
+# in three phases: idle; with WORKERS and RUNNERS, distributed over the data centres; and, if there
+# are both, under a bounded load of calls and batch jobs.  Without workers and runners only the idle
+# phase runs.
 #
-# Processor time is from /proc/PID/stat in ticks of 10 ms, so it is hardly affected by other work on
-# the machine; bytes are the peers' counters in /v1/state.
+# CPU time is from /proc/PID/stat in ticks of 10 ms, so other load on the machine hardly affects it;
+# bytes are from the peer counters in /v1/state.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -19,7 +19,7 @@
 CALLERS=${CALLERS:-4}
 TICKS_PER_S=$(getconf CLK_TCK)
 
-# Voters of the registry as in a deployment: five, over the first three data centres.
+# Five registry voters over the first three data centres, as in a deployment.
 is_registry_voter ()
 {
   case $1 in
@@ -38,13 +38,13 @@
   awk '/^VmRSS/ { print $2 }' "/proc/$1/status"
 }
 
-# Sum of one of the counters of all peers of a VM.
+# Sums one counter over all peers of a VM.
 peer_bytes ()
 {
   vm_state "$1" | grep -o "\"$2\": *[0-9]*" | awk -F: '{ s += $2 } END { printf "%d\n", s }'
 }
 
-take ()
+take_sample ()
 {
   local vm
   for vm in "${VMS[@]}"; do
@@ -73,12 +73,12 @@
   date +%s%3N
 }
 
-# measure LABEL COMMAND...   runs COMMAND (which takes about a phase) between two readings.
+# measure LABEL COMMAND...   runs COMMAND (which takes about one phase) between two samples.
 measure ()
 {
   local label=$1 start end workers runners
   shift
-  take "$WORK/before"
+  take_sample "$WORK/before"
   start=$(now_ms)
   workers=$(client_ticks w)
   runners=$(client_ticks r)
@@ -86,7 +86,7 @@
   end=$(now_ms)
   echo "$workers $(client_ticks w) $(((end - start)))" >"$WORK/workers"
   echo "$runners $(client_ticks r) $(((end - start)))" >"$WORK/runners"
-  take "$WORK/after"
+  take_sample "$WORK/after"
   echo "$label, $(((end - start) / 1000)) s:"
   paste -d' ' "$WORK/before" "$WORK/after" | awk -v ms=$((end - start)) -v hz="$TICKS_PER_S" '
     { cpu = ($7 - $2) / hz / (ms / 1000) * 100; sent = ($9 - $4) / ms; got = ($10 - $5) / ms
@@ -111,12 +111,12 @@
   done
 }
 
-runners_known ()
+all_runners_live ()
 {
   [ "$(vm_state "${VMS[0]}" | grep -o '"live": *true' | wc -l)" -ge "$RUNNERS" ]
 }
 
-# Calls of 200 bytes through the VMs in turn, each caller at most 50 a second, on one connection
+# Sends calls of 200 bytes to the VMs in turn, at most 50 per second and caller, with one connection
 # per batch of calls.
 caller ()
 {
@@ -130,7 +130,7 @@
   done
 }
 
-load ()
+run_load ()
 {
   local callers=() i
   for ((i = 0; i < CALLERS; i++)); do
@@ -149,11 +149,11 @@
 measure "idle, ${#VMS[@]} VMs" sleep "$SECONDS_PER_PHASE"
 [ "$((WORKERS + RUNNERS))" -gt 0 ] || exit 0
 start_clients
-wait_for 20 runners_known || fail "not every runner became known"
+wait_for 20 all_runners_live || fail "not every runner became known"
 sleep 4
 measure "$WORKERS workers, $RUNNERS runners, no load" sleep "$SECONDS_PER_PHASE"
 if [ "$WORKERS" = 0 ] || [ "$RUNNERS" = 0 ]; then
   exit 0
 fi
-measure "calls and jobs" load
+measure "calls and jobs" run_load
 echo "  calls: $(sort "$WORK"/calls.* | uniq -c | awk '{ printf "%s with %s; ", $1, $2 }')task starts: $(starts)"
--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -1,10 +1,10 @@
-/* bench_dispatcher_cost [WORKERS [FILL_JOBS_PER_S [SECONDS]]]: processor time of the leader's
+/* bench_dispatcher_cost [WORKERS [FILL_JOBS_PER_S [SECONDS]]]: CPU time of the leader's
    decisions, without network, log and disk.
 
-   A dispatcher on a simulated clock, with workers that start and end what they are told: lasting
-   tasks that declare four fifths of all processors, fill-in jobs at the rate given and 1.17 times
-   as many short jobs.  Two of three pairs of images disturb each other.  Prints processor time and
-   starts a second after ten seconds of warming up.  */
+   Runs a dispatcher on a simulated clock with simulated workers.  The load is lasting tasks that
+   declare four fifths of all processors, fill-in jobs at the given rate and 1.17 times as many
+   short jobs.  Two of three pairs of images interfere.  Prints CPU time and starts per second
+   after a warm-up of ten seconds.  */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -15,15 +15,15 @@
 #include "dispatcher.h"
 #include "rng.h"
 
-#define MAX_RUNS 256 /* on one worker, and ends that it remembers */
-#define MAX_OPEN 65536
+#define MAX_RUNS 256 /* of one worker, and of the ends that it reports */
+#define MAX_PENDING 65536
 #define LEASE_MS 10000
 #define STATUS_MS 120000
 #define STEP_MS 5
-#define REPORT_EVERY_MS 1500
+#define REPORT_PERIOD_MS 1500
 #define LASTING_AT_MS 1000
-#define WARM_MS 10000
-#define TARGET_MS 18 /* of lasting tasks; an idle one answers in 4 ms */
+#define WARM_UP_MS 10000
+#define TARGET_LATENCY_MS 18 /* target latency of lasting tasks; an idle one answers in 4 ms */
 #define SERVING_IMAGES 5
 #define FILLING_IMAGES 9
 
@@ -32,8 +32,8 @@
   workflow_task_ref task;
   uint32_t run;
   int64_t ends_ms;
-  bool lasting;
-  bool fills;
+  bool is_lasting;
+  bool is_fill;
   int image;
   double cores;
 };
@@ -45,8 +45,8 @@
   int count;
   struct reported_end ends[MAX_RUNS];
   int end_count;
-  uint64_t numbers;   /* of ends, so far */
-  int64_t hold_at_ms; /* when the open hold is answered; 0 is none */
+  uint64_t last_end_number; /* number of the latest end */
+  int64_t hold_at_ms;       /* time at which the pending hold is answered; 0 if none */
   struct worker_hold hold;
 };
 
@@ -83,9 +83,9 @@
   int64_t now_ms;
   uint64_t jobs;
   uint64_t starts;
-  struct proposal log[MAX_OPEN];
+  struct proposal log[MAX_PENDING];
   size_t log_count;
-  struct sim_call calls[MAX_OPEN];
+  struct sim_call calls[MAX_PENDING];
   size_t call_count;
 };
 
@@ -98,7 +98,7 @@
 static void
 add_call (struct sim *s, const struct sim_call *c)
 {
-  if (s->call_count < MAX_OPEN)
+  if (s->call_count < MAX_PENDING)
     s->calls[s->call_count++] = *c;
 }
 
@@ -116,8 +116,8 @@
   w->runs[w->count++] = (struct sim_run){ .task = o->task,
                                           .run = o->run,
                                           .ends_ms = s->now_ms + step->estimate_ms,
-                                          .lasting = step->flags & WORKFLOW_STEP_LASTING,
-                                          .fills = step->flags & WORKFLOW_STEP_FILL,
+                                          .is_lasting = step->flags & WORKFLOW_STEP_LASTING,
+                                          .is_fill = step->flags & WORKFLOW_STEP_FILL,
                                           .image = step->image[0] ? step->image[1] - '0' : 0,
                                           .cores = step->millicores / 1000.0 };
 }
@@ -189,7 +189,7 @@
 }
 
 static void
-change (struct sim *s, const workflow_command *c)
+apply_command (struct sim *s, const workflow_command *c)
 {
   struct buffer entry;
   buffer_init (&entry);
@@ -199,7 +199,7 @@
   buffer_close (&entry);
 }
 
-/* A chain of STEPS steps like STEP.  */
+/* Submits a job of STEPS copies of STEP, each after the previous one.  */
 static void
 submit (struct sim *s, const char *queue, const workflow_step *step, uint32_t steps)
 {
@@ -217,11 +217,11 @@
   c.workflow_command_u.spec = (workflow_spec){
     .id = ++s->jobs, .queue = (char *)queue, .payload = "x", .steps = { steps, list }
   };
-  change (s, &c);
+  apply_command (s, &c);
 }
 
 static uint32_t
-between (struct sim *s, uint32_t low, uint32_t high)
+random_between (struct sim *s, uint32_t low, uint32_t high)
 {
   return (uint32_t)rng_between (&s->rng, low, high);
 }
@@ -233,12 +233,12 @@
     {
       char image[] = { 's', (char)('0' + i % SERVING_IMAGES), '\0' };
       const workflow_step step = { .count = 14,
-                                   .millicores = between (s, 2400, 4000),
+                                   .millicores = random_between (s, 2400, 4000),
                                    .memory_mb = 1000,
                                    .estimate_ms = 400,
                                    .flags = WORKFLOW_STEP_LASTING,
                                    .image = image,
-                                   .target_ms = TARGET_MS };
+                                   .target_ms = TARGET_LATENCY_MS };
       submit (s, "lasting", &step, 1);
     }
 }
@@ -246,11 +246,11 @@
 static void
 submit_fill (struct sim *s)
 {
-  char image[] = { 'f', (char)('0' + between (s, 0, FILLING_IMAGES - 1)), '\0' };
+  char image[] = { 'f', (char)('0' + random_between (s, 0, FILLING_IMAGES - 1)), '\0' };
   const workflow_step step = { .count = 20,
-                               .millicores = between (s, 1200, 2400),
+                               .millicores = random_between (s, 1200, 2400),
                                .memory_mb = 1000,
-                               .estimate_ms = between (s, 1500, 3900),
+                               .estimate_ms = random_between (s, 1500, 3900),
                                .flags = WORKFLOW_STEP_FILL,
                                .image = image };
   submit (s, "fill", &step, 2);
@@ -260,27 +260,27 @@
 submit_short (struct sim *s)
 {
   const workflow_step step = { .count = 10,
-                               .millicores = between (s, 1000, 2800),
+                               .millicores = random_between (s, 1000, 2800),
                                .memory_mb = 1000,
-                               .estimate_ms = between (s, 500, 1100),
+                               .estimate_ms = random_between (s, 500, 1100),
                                .image = "" };
   submit (s, "short", &step, 2);
 }
 
-/* A tail in ms: the load of the task swings, and fill-in images disturb it.  */
+/* Tail latency in ms: the load oscillates, and fill-in images interfere.  */
 static uint32_t
-tail_of (const struct sim *s, const struct sim_worker *w, const struct sim_run *r)
+tail_latency_ms (const struct sim *s, const struct sim_worker *w, const struct sim_run *r)
 {
-  double swing = sin ((double)s->now_ms / 1600 + (double)r->task.job);
-  double slack = 4.5 * (1 - 0.42 * (1 + 0.5 * swing));
+  double oscillation = sin ((double)s->now_ms / 1600 + (double)r->task.job);
+  double slack = 4.5 * (1 - 0.42 * (1 + 0.5 * oscillation));
   for (int i = 0; i < w->count; i++)
-    if (w->runs[i].fills && (w->runs[i].image + r->image) % 3 != 0)
+    if (w->runs[i].is_fill && (w->runs[i].image + r->image) % 3 != 0)
       slack -= 5 * w->runs[i].cores / 18;
-  return (uint32_t)(TARGET_MS / fmax (slack, 0.2));
+  return (uint32_t)(TARGET_LATENCY_MS / fmax (slack, 0.2));
 }
 
 static void
-forget_ends (struct sim_worker *w)
+remove_acknowledged_ends (struct sim_worker *w)
 {
   int kept = 0;
   for (int i = 0; i < w->end_count; i++)
@@ -293,15 +293,16 @@
 answer_hold (struct sim *s, struct sim_worker *w)
 {
   static struct reported_run running[MAX_RUNS];
-  forget_ends (w);
+  remove_acknowledged_ends (w);
   for (int i = 0; i < w->count; i++)
     {
       const struct sim_run *r = &w->runs[i];
-      running[i] = (struct reported_run){ .task = r->task,
-                                          .run = r->run,
-                                          .checkpoint = "",
-                                          .percent = 100,
-                                          .measure = r->lasting ? tail_of (s, w, r) : 1000 };
+      running[i]
+          = (struct reported_run){ .task = r->task,
+                                   .run = r->run,
+                                   .checkpoint = "",
+                                   .percent = 100,
+                                   .measure = r->is_lasting ? tail_latency_ms (s, w, r) : 1000 };
     }
   const struct worker_lists lists = { .mark = w->hold.mark,
                                       .clock_ms = s->now_ms,
@@ -321,9 +322,9 @@
   for (int i = w->count - 1; i >= 0; i--)
     {
       const struct sim_run *r = &w->runs[i];
-      if (r->lasting || r->ends_ms > s->now_ms || w->end_count == MAX_RUNS)
+      if (r->is_lasting || r->ends_ms > s->now_ms || w->end_count == MAX_RUNS)
         continue;
-      w->ends[w->end_count++] = (struct reported_end){ .number = ++w->numbers,
+      w->ends[w->end_count++] = (struct reported_end){ .number = ++w->last_end_number,
                                                        .task = r->task,
                                                        .run = r->run,
                                                        .outcome = WORKFLOW_DONE,
@@ -380,19 +381,19 @@
 }
 
 static double
-processor_s (void)
+cpu_s (void)
 {
   struct timespec t;
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &t);
   return (double)t.tv_sec + (double)t.tv_nsec / 1e9;
 }
 
-/* What the leader does in one step; its processor time.  */
+/* Runs one step of the leader; returns its CPU time in seconds.  */
 static double
-lead (struct sim *s)
+step_leader (struct sim *s)
 {
-  double began_s = processor_s ();
-  if (s->now_ms % REPORT_EVERY_MS == 0)
+  double began_s = cpu_s ();
+  if (s->now_ms % REPORT_PERIOD_MS == 0)
     report_workers (s);
   if (s->now_ms % DISPATCHER_TICK_MS == 0)
     {
@@ -404,7 +405,7 @@
   for (int i = 0; i < s->count; i++)
     if (s->workers[i].hold_at_ms && s->workers[i].hold_at_ms <= s->now_ms)
       answer_hold (s, &s->workers[i]);
-  return processor_s () - began_s;
+  return cpu_s () - began_s;
 }
 
 static void
@@ -427,7 +428,7 @@
   c.workflow_command_u.configuration = (workflow_configuration){
     .revision = 1, .queues = { 3, queues }, .pools = { 1, &pool }, .document = { 2, "{}" }
   };
-  change (s, &c);
+  apply_command (s, &c);
 }
 
 static void
@@ -450,7 +451,7 @@
 }
 
 static void
-play (struct sim *s, double fill_jobs_per_s, int64_t until_ms, double *used_s)
+simulate (struct sim *s, double fill_jobs_per_s, int64_t until_ms, double *used_s)
 {
   for (; s->now_ms < until_ms; s->now_ms += STEP_MS)
     {
@@ -458,11 +459,11 @@
         end_runs (s, &s->workers[i]);
       if (s->now_ms == LASTING_AT_MS)
         submit_lasting (s);
-      if (s->now_ms >= WARM_MS && rng_chance (&s->rng, fill_jobs_per_s * STEP_MS / 1000))
+      if (s->now_ms >= WARM_UP_MS && rng_chance (&s->rng, fill_jobs_per_s * STEP_MS / 1000))
         submit_fill (s);
-      if (s->now_ms >= WARM_MS && rng_chance (&s->rng, 1.17 * fill_jobs_per_s * STEP_MS / 1000))
+      if (s->now_ms >= WARM_UP_MS && rng_chance (&s->rng, 1.17 * fill_jobs_per_s * STEP_MS / 1000))
         submit_short (s);
-      *used_s += lead (s);
+      *used_s += step_leader (s);
     }
 }
 
@@ -478,9 +479,9 @@
   unsigned waiting = 0;
   const struct workflow_task *t;
   open_sim (&s, workers);
-  play (&s, rate, WARM_MS, &warm_s);
+  simulate (&s, rate, WARM_UP_MS, &warm_s);
   uint64_t before = s.starts;
-  play (&s, rate, WARM_MS + seconds * 1000, &used_s);
+  simulate (&s, rate, WARM_UP_MS + seconds * 1000, &used_s);
   TAILQ_FOREACH (t, &s.workflow.ready, link)
   waiting++;
   printf ("%d workers, %.1f fill-in jobs/s, %d s: %.1f ms processor time a second, %.0f starts/s, "
--- a/bench/fake_worker.h
+++ b/bench/fake_worker.h
@@ -1,6 +1,6 @@
-/* fake_worker: a worker at the scheduler's interface, for tests and benchmarks.  It follows the
-   rules of scheduler.h: lease, validity of starts, epochs, complete lists.  What a task does comes
-   from its payload: "run=MS use=MILLICORES mem=MB fail=MS".  Speed and slowdown come from hooks. */
+/* fake_worker: simulated worker for tests and benchmarks of the scheduler.  It obeys the rules of
+   scheduler.h: lease, validity of starts, epochs, complete lists.  The payload of a task sets its
+   behaviour: "run=MS use=MILLICORES mem=MB fail=MS".  The caller sets usage and slowdown. */
 
 #ifndef SASSAFRAS_FAKE_WORKER_H
 #define SASSAFRAS_FAKE_WORKER_H
@@ -12,8 +12,8 @@
 #include "scheduler.h"
 
 #define FAKE_TASKS 256
-#define FAKE_SEEN 1024
-#define FAKE_LAG 8 /* seconds of measurements kept */
+#define FAKE_SEEN_EPOCHS 1024
+#define FAKE_HISTORY_S 8 /* length of the measurement history */
 
 struct fake_task
 {
@@ -26,20 +26,20 @@
   char service[64];
   uint32_t index;
   uint32_t checkpoint_ms;
-  uint32_t used_millicores; /* without a throttle */
+  uint32_t used_millicores; /* when not throttled */
   uint32_t used_memory_mb;
   uint32_t limit_millicores;
-  uint64_t run_ms;  /* work in all, 0 runs until stopped */
-  uint64_t fail_ms; /* fails after this much work, 0 never */
-  double work_ms;   /* done so far, with what the checkpoint kept */
-  double lost_ms;   /* work since the checkpoint, at a stop without one */
-  uint64_t kept_ms; /* by the last checkpoint */
+  uint64_t run_ms;          /* total work; 0: runs until stopped */
+  uint64_t fail_ms;         /* work after which the task fails; 0: never */
+  double work_ms;           /* work done, including that of the checkpoint */
+  double uncheckpointed_ms; /* work since the last checkpoint, lost at a stop */
+  uint64_t checkpointed_ms; /* work covered by the last checkpoint */
   uint32_t slowdown_milli;
-  uint32_t reported_millicores; /* lagging use; 0 reports the present one */
-  uint32_t slowdowns[FAKE_LAG]; /* of the last seconds */
-  uint32_t uses[FAKE_LAG];
+  uint32_t reported_millicores; /* delayed usage sample; 0: reports the current usage */
+  uint32_t slowdown_history[FAKE_HISTORY_S]; /* one per second, a ring */
+  uint32_t usage_history[FAKE_HISTORY_S];
   int64_t started_ms;
-  int64_t stop_at_ms; /* end of the grace of a stop, 0 when none */
+  int64_t stop_at_ms; /* time at which a requested stop takes effect; 0: none */
   int64_t checkpoint_at_ms;
   char checkpoint[32];
 };
@@ -53,9 +53,9 @@
   cell_size size;
   bool up;
   bool announced;
-  bool bad; /* every start fails at once */
+  bool bad; /* every started task fails immediately */
   int64_t poll_sent_ms;
-  bool poll_pending; /* a poll is on its way or held open */
+  bool poll_pending; /* a poll is in flight or held by the scheduler */
   int64_t lease_until_ms;
   int64_t covered_until_ms;
   struct fake_task tasks[FAKE_TASKS];
@@ -64,7 +64,7 @@
   {
     uint64_t task;
     uint64_t epoch;
-  } seen[FAKE_SEEN]; /* highest epoch per task, a ring */
+  } seen[FAKE_SEEN_EPOCHS]; /* highest epoch per task, a ring */
   size_t seen_next;
   uint64_t started;
   uint64_t done;
@@ -72,7 +72,7 @@
   double done_core_ms;
 };
 
-/* A command as it travels; it owns what it needs.  */
+/* A command in transit, with its own copy of the job fields.  */
 struct fake_command
 {
   struct worker_command c;
@@ -80,7 +80,7 @@
 };
 
 static inline void
-fake_parse (struct fake_task *f, const cell_job_spec *spec)
+fake_parse_payload (struct fake_task *f, const cell_job_spec *spec)
 {
   const char *p = spec->payload;
   unsigned long long run = 0;
@@ -119,9 +119,9 @@
   f->index = c->index;
   f->checkpoint_ms = c->spec->checkpoint_ms;
   f->work_ms = (double)c->progress_ms;
-  f->kept_ms = c->progress_ms;
+  f->checkpointed_ms = c->progress_ms;
   snprintf (f->checkpoint, sizeof f->checkpoint, "%.30s", c->checkpoint ? c->checkpoint : "");
-  fake_parse (f, c->spec);
+  fake_parse_payload (f, c->spec);
 }
 
 static inline struct fake_task *
@@ -140,19 +140,19 @@
 }
 
 static inline bool
-fake_seen (const struct fake_worker *w, uint64_t task, uint64_t epoch)
+fake_epoch_seen (const struct fake_worker *w, uint64_t task, uint64_t epoch)
 {
-  for (size_t i = 0; i < FAKE_SEEN; i++)
+  for (size_t i = 0; i < FAKE_SEEN_EPOCHS; i++)
     if (w->seen[i].task == task && w->seen[i].epoch >= epoch)
       return true;
   return false;
 }
 
 static inline void
-fake_note_seen (struct fake_worker *w, uint64_t task, uint64_t epoch)
+fake_record_epoch (struct fake_worker *w, uint64_t task, uint64_t epoch)
 {
-  w->seen[w->seen_next % FAKE_SEEN].task = task;
-  w->seen[w->seen_next++ % FAKE_SEEN].epoch = epoch;
+  w->seen[w->seen_next % FAKE_SEEN_EPOCHS].task = task;
+  w->seen[w->seen_next++ % FAKE_SEEN_EPOCHS].epoch = epoch;
 }
 
 static inline void
@@ -164,7 +164,7 @@
       w->done++;
       return;
     }
-  double lost = f->work_ms - (double)f->kept_ms;
+  double lost = f->work_ms - (double)f->checkpointed_ms;
   if (!f->urgent)
     w->lost_core_ms += lost * f->size.millicores / 1000.0;
 }
@@ -172,27 +172,28 @@
 static inline void
 fake_checkpoint (struct fake_task *f)
 {
-  f->kept_ms = (uint64_t)f->work_ms;
-  snprintf (f->checkpoint, sizeof f->checkpoint, "ck%llu", (unsigned long long)f->kept_ms);
+  f->checkpointed_ms = (uint64_t)f->work_ms;
+  snprintf (f->checkpoint, sizeof f->checkpoint, "ck%llu", (unsigned long long)f->checkpointed_ms);
 }
 
 static inline void
 fake_start (struct fake_worker *w, const struct fake_command *c, int64_t now_ms,
             int64_t poll_sent_ms)
 {
-  bool other = false;
+  bool already_running = false;
   for (size_t i = 0; i < w->count; i++)
-    other = other || (w->tasks[i].task == c->c.task && fake_running (&w->tasks[i]));
+    already_running
+        = already_running || (w->tasks[i].task == c->c.task && fake_running (&w->tasks[i]));
   if (fake_find (w, c->c.task, c->c.epoch) || w->count == FAKE_TASKS)
     return;
-  bool seen = fake_seen (w, c->c.task, c->c.epoch);
-  fake_note_seen (w, c->c.task, c->c.epoch);
+  bool seen = fake_epoch_seen (w, c->c.task, c->c.epoch);
+  fake_record_epoch (w, c->c.task, c->c.epoch);
   struct fake_task *f = &w->tasks[w->count++];
   *f = c->task;
   f->state = CELL_REPORT_RUNNING;
   f->started_ms = now_ms;
-  if (seen || other || now_ms >= poll_sent_ms + c->c.valid_ms || now_ms >= w->lease_until_ms
-      || (f->covered && now_ms >= w->covered_until_ms))
+  if (seen || already_running || now_ms >= poll_sent_ms + c->c.valid_ms
+      || now_ms >= w->lease_until_ms || (f->covered && now_ms >= w->covered_until_ms))
     f->state = CELL_REPORT_REFUSED;
   else
     w->started++;
@@ -206,7 +207,7 @@
   struct fake_task *f = fake_find (w, c->c.task, c->c.epoch);
   if (!f && w->count < FAKE_TASKS)
     {
-      fake_note_seen (w, c->c.task, c->c.epoch);
+      fake_record_epoch (w, c->c.task, c->c.epoch);
       f = &w->tasks[w->count++];
       memset (f, 0, sizeof *f);
       f->task = c->c.task;
@@ -248,14 +249,14 @@
 }
 
 static inline uint32_t
-fake_use (const struct fake_task *f)
+fake_usage (const struct fake_task *f)
 {
   if (f->limit_millicores && f->limit_millicores < f->used_millicores)
     return f->limit_millicores;
   return f->used_millicores;
 }
 
-/* Renews the leases; POLL_SENT_MS is when the answered poll was sent.  */
+/* Renews the leases from POLL_SENT_MS, the time at which the answered poll was sent.  */
 static inline void
 fake_renew (struct fake_worker *w, uint32_t lease_ms, uint32_t covered_ms, int64_t poll_sent_ms)
 {
@@ -265,14 +266,14 @@
     w->covered_until_ms = poll_sent_ms + covered_ms;
 }
 
-/* Processors in demand over the worker's, at least 1: everything runs slower by this factor.  */
+/* Ratio of demanded to available processors, at least 1; all tasks run slower by this factor.  */
 static inline double
 fake_contention (const struct fake_worker *w)
 {
   double used = 0;
   for (size_t i = 0; i < w->count; i++)
     if (fake_running (&w->tasks[i]))
-      used += fake_use (&w->tasks[i]);
+      used += fake_usage (&w->tasks[i]);
   return used > w->size.millicores ? used / w->size.millicores : 1;
 }
 
@@ -281,7 +282,7 @@
                 double contention)
 {
   uint32_t use = f->used_millicores ? f->used_millicores : 1;
-  double speed = (double)fake_use (f) / use / contention;
+  double speed = (double)fake_usage (f) / use / contention;
   f->work_ms += speed * (double)step_ms;
   if (!f->urgent)
     w->done_core_ms += speed * (double)step_ms * f->size.millicores / 1000.0;
@@ -303,7 +304,7 @@
     }
 }
 
-/* Lets STEP_MS pass up to NOW_MS; true when a task ended, so that a new poll is worth sending.  */
+/* Advances by STEP_MS to NOW_MS; returns true if a task ended, which calls for a new poll.  */
 static inline bool
 fake_step (struct fake_worker *w, int64_t now_ms, int64_t step_ms)
 {
@@ -318,7 +319,7 @@
   return ended;
 }
 
-/* Fills OUT, whose strings point into W.  */
+/* Lists the tasks in OUT; its strings point into W.  Returns their number.  */
 static inline size_t
 fake_list (struct fake_worker *w, struct worker_task *out)
 {
@@ -329,17 +330,17 @@
       out[i].task = f->task;
       out[i].epoch = f->epoch;
       out[i].state = f->state;
-      out[i].used_millicores = f->reported_millicores ? f->reported_millicores : fake_use (f);
+      out[i].used_millicores = f->reported_millicores ? f->reported_millicores : fake_usage (f);
       out[i].used_memory_mb = f->used_memory_mb;
       out[i].slowdown_milli = f->slowdown_milli;
-      out[i].progress_ms = f->kept_ms;
+      out[i].progress_ms = f->checkpointed_ms;
       out[i].checkpoint = f->checkpoint;
       out[i].reason = f->state == CELL_REPORT_FAILED ? "exit status 1" : "";
     }
   return w->count;
 }
 
-/* The process and all its tasks end.  */
+/* Ends the worker process and all its tasks; the next start is a new incarnation.  */
 static inline void
 fake_kill (struct fake_worker *w)
 {
--- a/bench/log_commit.c
+++ b/bench/log_commit.c
@@ -1,7 +1,7 @@
-/* Commit rate, fsyncs and CPU time per commit of a group with three voters, each with a journal on
-   a real folder, messages passed in memory.
+/* Commit rate, fsyncs and CPU time per commit of a group with three voters.  Each voter has its
+   journal in a folder on disk; messages are passed in memory.
 
-   Usage: bench_log_commit FOLDER   The folder must be empty or missing; its files are removed.  */
+   Usage: bench_log_commit FOLDER   The folder must be empty or absent; its files are removed.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -27,14 +27,14 @@
   struct group *group;
   struct null_machine machine;
   char folder[256];
-  double cpu_s; /* time spent in this node's flushes and messages */
+  double cpu_s; /* CPU time of this node's flushes and messages */
 };
 
 static struct node nodes[VOTERS + 1];
 static struct buffer queue[QUEUE];
 static size_t queue_head;
 static size_t queue_tail;
-static uint64_t done_count;
+static uint64_t committed_count;
 
 static void
 apply (struct machine *m, uint64_t index, const void *command, size_t len, struct buffer *result)
@@ -95,7 +95,7 @@
 }
 
 static void
-receive_all (void)
+deliver_messages (void)
 {
   while (queue_head != queue_tail)
     {
@@ -113,7 +113,7 @@
 }
 
 static void
-iterate (void)
+run_round (void)
 {
   for (int i = 1; i <= VOTERS; i++)
     {
@@ -122,17 +122,17 @@
       group_flush (nodes[i].group);
       nodes[i].cpu_s += seconds (CLOCK_PROCESS_CPUTIME_ID) - start;
     }
-  receive_all ();
+  deliver_messages ();
 }
 
 static void
-finished (void *arg, const struct status *st, const void *result, size_t len)
+on_committed (void *arg, const struct status *st, const void *result, size_t len)
 {
   (void)arg;
   (void)result;
   (void)len;
   if (st->kind == STATUS_OK)
-    done_count++;
+    committed_count++;
 }
 
 static int
@@ -184,32 +184,32 @@
   struct group_stats after;
   struct node *n = leader ();
   group_stats (n->group, &before);
-  uint64_t first = done_count;
-  uint64_t proposed = done_count;
+  uint64_t first = committed_count;
+  uint64_t proposed = committed_count;
   double cpu = seconds (CLOCK_PROCESS_CPUTIME_ID);
   double leader_cpu = n->cpu_s;
   double start = seconds (CLOCK_MONOTONIC);
   while (seconds (CLOCK_MONOTONIC) - start < RUN_MS / 1000.0)
     {
       double propose_start = seconds (CLOCK_PROCESS_CPUTIME_ID);
-      while (proposed - done_count < batch)
+      while (proposed - committed_count < batch)
         {
-          group_propose (n->group, command, command_bytes, finished, NULL);
+          group_propose (n->group, command, command_bytes, on_committed, NULL);
           proposed++;
         }
       n->cpu_s += seconds (CLOCK_PROCESS_CPUTIME_ID) - propose_start;
-      iterate ();
+      run_round ();
     }
   double elapsed = seconds (CLOCK_MONOTONIC) - start;
   cpu = seconds (CLOCK_PROCESS_CPUTIME_ID) - cpu;
   leader_cpu = n->cpu_s - leader_cpu;
   group_stats (n->group, &after);
-  double commits = (double)(done_count - first);
+  double commits = (double)(committed_count - first);
   printf ("%8zu %8llu %12.0f %14.4f %14.2f %14.2f\n", command_bytes, (unsigned long long)batch,
           commits / elapsed, (double)(after.syncs - before.syncs) / commits, cpu / commits * 1e6,
           leader_cpu / commits * 1e6);
-  while (done_count < proposed)
-    iterate ();
+  while (committed_count < proposed)
+    run_round ();
 }
 
 static void
@@ -250,11 +250,11 @@
   top->ops->free (top);
   while (!leader ())
     {
-      iterate ();
+      run_round ();
       usleep (1000);
     }
   for (int i = 0; i < 100; i++)
-    iterate ();
+    run_round ();
   printf ("%8s %8s %12s %14s %14s %14s\n", "bytes", "batch", "commits/s", "fsync/commit",
           "us cpu, all 3", "us cpu, leader");
   for (size_t i = 0; i < sizeof batches / sizeof batches[0]; i++)
--- a/bench/log_restart.c
+++ b/bench/log_restart.c
@@ -1,6 +1,6 @@
-/* Restart time and data-folder size of a single voter after 100,000 changes.
+/* Restart time and data folder size of a single voter after 100,000 changes.
 
-   Usage: bench_log_restart FOLDER   The folder must be empty or missing; its files are removed.  */
+   Usage: bench_log_restart FOLDER   The folder must be empty or absent; its files are removed.  */
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
@@ -13,7 +13,7 @@
 
 #define CHANGES 100000
 #define BATCH 100
-#define KEYS 4096 /* the state: one value per key */
+#define KEYS 4096 /* the state holds one value per key */
 #define VALUE_BYTES 200
 
 struct table
@@ -23,7 +23,7 @@
 };
 
 static struct table table;
-static uint64_t done_count;
+static uint64_t committed_count;
 
 static void
 apply (struct machine *m, uint64_t index, const void *command, size_t len, struct buffer *result)
@@ -66,17 +66,17 @@
 }
 
 static void
-finished (void *arg, const struct status *st, const void *result, size_t len)
+on_committed (void *arg, const struct status *st, const void *result, size_t len)
 {
   (void)arg;
   (void)result;
   (void)len;
-  done_count += st->kind == STATUS_OK;
+  committed_count += st->kind == STATUS_OK;
 }
 
-/* Opens the group and waits until it leads and has applied its log.  */
+/* Opens the group and runs it until it is leader and has applied its log.  */
 static struct group *
-start (const char *folder, struct rng *rng)
+open_leader (const char *folder, struct rng *rng)
 {
   raft_member self = { .node = 1, .voter = true };
   raft_members members = { { 1, &self } };
@@ -128,26 +128,26 @@
     }
   log_configure (&quiet);
   rng_init (&rng, 1);
-  struct group *g = start (argv[1], &rng);
+  struct group *g = open_leader (argv[1], &rng);
   double begin = now_s ();
   long long largest = 0;
   for (int i = 0; i < CHANGES; i++)
     {
       memset (command, i, sizeof command);
-      group_propose (g, command, sizeof command, finished, NULL);
+      group_propose (g, command, sizeof command, on_committed, NULL);
       if (i % BATCH != BATCH - 1)
         continue;
       group_flush (g);
       long long size = file_bytes (argv[1], "log") + file_bytes (argv[1], "snapshot");
       largest = size > largest ? size : largest;
     }
-  printf ("%llu changes of %d bytes in batches of %d: %.2f s\n", (unsigned long long)done_count,
-          VALUE_BYTES, BATCH, now_s () - begin);
+  printf ("%llu changes of %d bytes in batches of %d: %.2f s\n",
+          (unsigned long long)committed_count, VALUE_BYTES, BATCH, now_s () - begin);
   group_close (g);
   printf ("data folder: log %lld, snapshot %lld bytes; largest during the run %lld\n",
           file_bytes (argv[1], "log"), file_bytes (argv[1], "snapshot"), largest);
   begin = now_s ();
-  g = start (argv[1], &rng);
+  g = open_leader (argv[1], &rng);
   printf ("restart to leader with all applied: %.1f ms, commit index %llu\n",
           (now_s () - begin) * 1000, (unsigned long long)group_commit_index (g));
   group_close (g);
--- a/bench/log_times.c
+++ b/bench/log_times.c
@@ -1,7 +1,7 @@
-/* Times and traffic of a group on the paused clock, with the default timing.
+/* Times and traffic of a group on a simulated clock, with the default timing.
 
-   Prints the time without a leader after the leader's death, the traffic of an idle group per VM,
-   and the delivery time of heartbeats beside a snapshot transfer on a 30 Mbit/s link.
+   Prints the time without a leader after the leader crashes, the traffic of an idle group per VM,
+   and the delivery time of heartbeats during a snapshot transfer on a 30 Mbit/s link.
    Usage: bench_log_times  */
 #include <stdio.h>
 #include <stdlib.h>
@@ -9,7 +9,7 @@
 #include "log.h"
 #include "log_sim.h"
 
-#define RUNS 200
+#define FAILOVER_RUNS 200
 #define IDLE_MS 60000
 #define LINK_BYTES_PER_S 3750000 /* 30 Mbit/s */
 #define MAX_WAIT_MS 20000
@@ -41,9 +41,9 @@
   return (x > y) - (x < y);
 }
 
-/* Time from the leader's death to the first command committed by its successor.  */
+/* Time from the leader's crash to the first command committed by its successor.  */
 static int64_t
-time_without_leader (uint64_t seed, int voters, int64_t delay_us)
+measure_outage_ms (uint64_t seed, int voters, int64_t delay_us)
 {
   struct sim s;
   struct sim_config c = { .seed = seed, .voters = voters, .step_ms = 5 };
@@ -53,30 +53,31 @@
   start_all (&s);
   wait_leader (&s);
   sim_run_ms (&s, 1000 + (int64_t)(seed * 37 % 1000));
-  int64_t death = sim_now_ms (&s);
+  int64_t crash_ms = sim_now_ms (&s);
   uint64_t ok = s.ok;
   sim_crash (&s, sim_leader (&s), -1);
-  while (s.ok == ok && sim_now_ms (&s) - death < MAX_WAIT_MS)
+  while (s.ok == ok && sim_now_ms (&s) - crash_ms < MAX_WAIT_MS)
     {
       sim_propose (&s, sim_leader (&s), 64);
       sim_step (&s);
     }
-  int64_t gap = sim_now_ms (&s) - death;
+  int64_t outage_ms = sim_now_ms (&s) - crash_ms;
   sim_close (&s);
-  return gap;
+  return outage_ms;
 }
 
 static void
 measure_failover (int voters, int64_t delay_us)
 {
-  int64_t gaps[RUNS];
-  for (int i = 0; i < RUNS; i++)
-    gaps[i] = time_without_leader ((uint64_t)i + 1, voters, delay_us);
-  qsort (gaps, RUNS, sizeof gaps[0], compare_ms);
+  int64_t outages_ms[FAILOVER_RUNS];
+  for (int i = 0; i < FAILOVER_RUNS; i++)
+    outages_ms[i] = measure_outage_ms ((uint64_t)i + 1, voters, delay_us);
+  qsort (outages_ms, FAILOVER_RUNS, sizeof outages_ms[0], compare_ms);
   printf ("failover: %d voters, %.1f ms one way, %d runs: median %lld ms, 99%% %lld ms, "
           "longest %lld ms\n",
-          voters, (double)delay_us / 1000, RUNS, (long long)gaps[RUNS / 2],
-          (long long)gaps[RUNS * 99 / 100], (long long)gaps[RUNS - 1]);
+          voters, (double)delay_us / 1000, FAILOVER_RUNS, (long long)outages_ms[FAILOVER_RUNS / 2],
+          (long long)outages_ms[FAILOVER_RUNS * 99 / 100],
+          (long long)outages_ms[FAILOVER_RUNS - 1]);
 }
 
 static void
@@ -84,8 +85,8 @@
 {
   struct sim s;
   struct sim_config c = { .seed = 3, .voters = voters, .learners = learners };
-  double worst = 0;
-  double other = 0;
+  double leader_rate = 0;
+  double max_other_rate = 0;
   sim_init (&s, &c);
   s.delay_min_us = 1500;
   s.delay_max_us = 30000;
@@ -100,13 +101,13 @@
     {
       double rate = (double)(s.sent_bytes[i] + s.received_bytes[i] - before[i]) * 1000 / IDLE_MS;
       if (&s.nodes[i] == leader)
-        worst = rate;
-      else if (rate > other)
-        other = rate;
+        leader_rate = rate;
+      else if (rate > max_other_rate)
+        max_other_rate = rate;
     }
   printf ("idle: %d voters, %d learners: leader %.0f bytes/s, busiest other VM %.0f bytes/s, sent "
           "and received\n",
-          voters, learners, worst, other);
+          voters, learners, leader_rate, max_other_rate);
   sim_close (&s);
 }
 
@@ -122,9 +123,9 @@
   s.link_bytes_per_s = LINK_BYTES_PER_S;
   start_all (&s);
   struct sim_node *leader = wait_leader (&s);
-  struct sim_node *behind = &s.nodes[leader == &s.nodes[0] ? 1 : 0];
+  struct sim_node *lagging = &s.nodes[leader == &s.nodes[0] ? 1 : 0];
   sim_run_ms (&s, 500);
-  sim_crash (&s, behind, -1);
+  sim_crash (&s, lagging, -1);
   for (int i = 0; i < 400; i++)
     {
       sim_propose (&s, leader, 200);
@@ -134,8 +135,8 @@
   s.longest_heartbeat_us = 0;
   int64_t start = sim_now_ms (&s);
   uint64_t elections = s.elections;
-  behind->restart_at_ms = start;
-  while (behind->machine.index < leader->machine.index && sim_now_ms (&s) - start < 600000)
+  lagging->restart_at_ms = start;
+  while (lagging->machine.index < leader->machine.index && sim_now_ms (&s) - start < 600000)
     {
       if (sim_now_ms (&s) % 100 == 0)
         sim_propose (&s, leader, 200);
--- a/bench/open_connections.c
+++ b/bench/open_connections.c
@@ -1,7 +1,7 @@
 /* Opens keep-alive connections to one address, sends a request on each and prints how many are
-   answered.  A cell leader needs one for each worker, because every worker's poll is held open.
+   answered.  A cell leader needs one per worker because it holds every worker's poll open.
 
-   Usage: bench_open_connections IP PORT COUNT   (bench/open_connections.sh starts a daemon for it)
+   Usage: bench_open_connections IP PORT COUNT   (run by bench/open_connections.sh)
  */
 #include <arpa/inet.h>
 #include <poll.h>
@@ -11,7 +11,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define ANSWER_MS 3000
+#define ANSWER_TIMEOUT_MS 3000
 
 int
 main (int argc, char **argv)
@@ -32,7 +32,7 @@
       int fd = socket (AF_INET, SOCK_STREAM, 0);
       struct pollfd p = { .fd = fd, .events = POLLIN };
       if (fd < 0 || connect (fd, (struct sockaddr *)&a, sizeof a)
-          || write (fd, request, strlen (request)) < 0 || poll (&p, 1, ANSWER_MS) != 1
+          || write (fd, request, strlen (request)) < 0 || poll (&p, 1, ANSWER_TIMEOUT_MS) != 1
           || read (fd, answer, sizeof answer) <= 0)
         break;
       answered++;
--- a/bench/open_connections.sh
+++ b/bench/open_connections.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Usage: bench/open_connections.sh [BUILD-DIR [COUNT]]
-# Starts one daemon and counts the keep-alive connections that its backend address answers at once,
+# Starts one daemon and counts the concurrent keep-alive connections that its backend address answers,
 # up to COUNT (default 1500).
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/bench/peer_net_cost.c
+++ b/bench/peer_net_cost.c
@@ -1,9 +1,9 @@
-/* Cost of the transport between the daemons: CPU time and bytes per message, for three sizes and
-   three numbers of peers, and of an idle connection.  All ends run in this process on loopback, so
-   a message's CPU time is that of its sender and its receiver together.
+/* Cost of the transport between daemons: CPU time and bytes per message for three sizes and three
+   numbers of peers, and the cost of an idle connection.  All endpoints run in this process on
+   loopback, so the CPU time of a message includes its sender and its receiver.
 
-   For each number of peers a straight line is fitted through the sizes: CPU time = fixed part +
-   slope * bytes, and the largest relative distance of a measured point from it.  */
+   For each number of peers it prints a linear fit over the sizes, CPU time = fixed part + slope *
+   bytes, and the largest relative error of a measured point.  */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -16,10 +16,10 @@
 
 #define MAX_PEERS 7
 #define SIZES 3
-#define BATCH 16 /* messages to one peer before the loop runs; stays far below the queue bound */
+#define BATCH 16 /* messages per peer between loop runs, far below the queue limit */
 #define BYTES_PER_POINT (256LL * 1024 * 1024)
 #define MAX_MESSAGES 200000
-#define REPEATS 3 /* the lowest of these counts: other load only adds */
+#define REPEATS 3 /* the minimum counts: other load only adds time */
 #define IDLE_S 5
 #define US_PER_S 1e6
 
@@ -28,7 +28,7 @@
 
 static struct ev_loop *loop;
 static struct peer_net *hub;
-static struct peer_net *ends[MAX_PEERS];
+static struct peer_net *endpoints[MAX_PEERS];
 static uint64_t received;
 
 struct point
@@ -55,7 +55,7 @@
 }
 
 static struct peer_net *
-open_end (const char *vm, uint64_t node)
+open_endpoint (const char *vm, uint64_t node)
 {
   struct status st;
   struct peer_net_config config = {
@@ -101,14 +101,14 @@
 static void
 open_all (int peers)
 {
-  hub = open_end ("hub", 1);
+  hub = open_endpoint ("hub", 1);
   for (int i = 0; i < peers; i++)
     {
       char vm[16];
       snprintf (vm, sizeof vm, "vm-%d", i);
-      ends[i] = open_end (vm, (uint64_t)i + 2);
-      add_peer (ends[i], "hub", 1, peer_net_port (hub));
-      add_peer (hub, vm, (uint64_t)i + 2, peer_net_port (ends[i]));
+      endpoints[i] = open_endpoint (vm, (uint64_t)i + 2);
+      add_peer (endpoints[i], "hub", 1, peer_net_port (hub));
+      add_peer (hub, vm, (uint64_t)i + 2, peer_net_port (endpoints[i]));
     }
   while (!all_connected (peers))
     ev_run (loop, EVRUN_ONCE);
@@ -119,7 +119,7 @@
 {
   peer_net_close (hub);
   for (int i = 0; i < peers; i++)
-    peer_net_close (ends[i]);
+    peer_net_close (endpoints[i]);
 }
 
 static uint64_t
@@ -177,7 +177,7 @@
   return best;
 }
 
-/* Least squares with weight 1 / y^2, so that small and large messages count alike.  */
+/* Least squares with weight 1 / y^2, so that relative errors count alike at all sizes.  */
 static void
 fit (const struct point *p, double *fixed, double *slope, double *error)
 {
@@ -203,7 +203,7 @@
 }
 
 static void
-stop_loop (struct ev_loop *l, ev_timer *w, int events)
+on_idle_end (struct ev_loop *l, ev_timer *w, int events)
 {
   (void)w;
   (void)events;
@@ -216,7 +216,7 @@
   ev_timer timer;
   double cpu = cpu_s ();
   uint64_t bytes = sent_bytes ();
-  ev_timer_init (&timer, stop_loop, IDLE_S, 0.0);
+  ev_timer_init (&timer, on_idle_end, IDLE_S, 0.0);
   ev_timer_start (loop, &timer);
   ev_run (loop, 0);
   printf ("idle, %d peers: %.0f bytes/s sent by one end, %.3f%% of a core for %d ends\n", peers,
--- a/bench/registry_lists.c
+++ b/bench/registry_lists.c
@@ -1,8 +1,8 @@
 /* Cost and memory of a list change, and time to load a snapshot, at three sizes.
-   Usage: bench_registry_lists   One line per size: customers, bytes of both lists, time to check an
-   edit, time to apply it (with its check for use on this VM), time to save and to load a snapshot
-   with 4,096 answers, its bytes, and the heap that one version of the lists and the whole registry
-   hold.  */
+   Usage: bench_registry_lists   Prints one line per size: customers, bytes of both lists, time to
+   check an edit, time to apply it (including its check on this VM), time of another command, time
+   to save and to load a snapshot with 4,096 answers, its size, the heap use of one version of the
+   lists and of the whole registry, and the time of a customer lookup.  */
 #include <inttypes.h>
 #include <malloc.h>
 #include <stdio.h>
@@ -65,7 +65,7 @@
   buffer_close (&result);
 }
 
-/* Changes the lists ROUNDS times; returns seconds per change.  */
+/* Applies ROUNDS list changes; returns seconds per change.  */
 static double
 change_lists (struct registry *r, const struct buffer *plans, const struct buffer *list,
               uint64_t *index)
@@ -84,7 +84,7 @@
   return (now_s () - start) / ROUNDS;
 }
 
-/* Fills the stored answers; returns seconds per command.  */
+/* Fills the table of stored answers; returns seconds per command.  */
 static double
 fill_answers (struct registry *r, uint64_t *index)
 {
@@ -101,7 +101,7 @@
 }
 
 static double
-check_lists (const struct buffer *plans, const struct buffer *list, size_t *heap)
+measure_check (const struct buffer *plans, const struct buffer *list, size_t *heap)
 {
   struct json_source a = { "plans", plans->data, plans->len };
   struct json_source b = { "customers", list->data, list->len };
@@ -117,7 +117,7 @@
 }
 
 static double
-look_up (const struct plans *p, size_t customers)
+measure_lookup (const struct plans *p, size_t customers)
 {
   struct rng rng;
   uint64_t found = 0;
@@ -145,7 +145,7 @@
   size_t before = heap_bytes ();
   struct registry *r = registry_new ();
   struct machine *m = registry_machine (r);
-  double check_s = check_lists (&plans, &list, &version_heap);
+  double check_s = measure_check (&plans, &list, &version_heap);
   double apply_s = change_lists (r, &plans, &list, &index);
   double command_s = fill_answers (r, &index);
   size_t total_heap = heap_bytes () - before;
@@ -160,7 +160,8 @@
   printf ("%9zu %9zu %9.0f %9.0f %9.1f %9.0f %9.0f %9zu %9zu %9zu %9.0f%s\n", customers,
           plans.len + list.len, check_s * US_PER_S, apply_s * US_PER_S, command_s * US_PER_S,
           save_s * US_PER_S, load_s * US_PER_S, snapshot.len, version_heap, total_heap,
-          look_up (registry_plans (fresh), customers) * NS_PER_S, loaded < 0 ? " LOAD FAILED" : "");
+          measure_lookup (registry_plans (fresh), customers) * NS_PER_S,
+          loaded < 0 ? " LOAD FAILED" : "");
   registry_free (r);
   registry_free (fresh);
   buffer_close (&plans);
--- a/bench/request_loopback.c
+++ b/bench/request_loopback.c
@@ -1,12 +1,12 @@
-/* Measures the real proxy on loopback: one entry process, a few runner stand-ins, and callers on
-   keep-alive connections, each sending its next request when the answer is whole.
+/* Measures the proxy on loopback: one entry process, four runner stand-ins, and callers on
+   keep-alive connections, each sending its next request when the answer is complete.
 
    Usage: bench_request_loopback [REQUESTS [CONNECTIONS [BYTES [METHOD [CUSTOMER]]]]]
 
-   Customer "small" may have one request at a time: the others are refused, which shows what a
-   refusal costs.  Prints requests per second of wall clock and per second of the entry's processor
-   time, latencies, and the entry's resident memory along the way.  Under valgrind --tool=callgrind
-   the file named by the printed pid of the entry holds its instructions.  */
+   Customer "small" is limited to one request at a time; further requests are refused, which shows
+   the cost of a refusal.  Prints requests per second of wall clock time and of the entry's CPU
+   time, latencies, and the entry's resident memory during the run.  Under valgrind
+   --tool=callgrind, the output file with the entry's printed pid holds its instruction counts.  */
 #include "../tests/proxy_fixture.h"
 
 #include <fcntl.h>
@@ -14,7 +14,7 @@
 
 #define BENCH_RUNNERS 4
 #define MAX_CONNECTIONS 256
-#define REPORTS 5
+#define MEMORY_SAMPLES 5
 
 struct caller
 {
@@ -31,9 +31,9 @@
   return (int64_t)ts.tv_sec * 1000000 + ts.tv_nsec / 1000;
 }
 
-/* Processor time of a process in seconds, user and system.  */
+/* User and system CPU time of a process, in seconds.  */
 static double
-processor_s (pid_t pid)
+cpu_s (pid_t pid)
 {
   char path[64];
   char text[1024] = "";
@@ -70,22 +70,22 @@
 }
 
 static bool
-answer_complete (struct buffer *in, bool *good)
+answer_complete (struct buffer *in, bool *succeeded)
 {
   char *end = in->data ? strstr (in->data, "\r\n\r\n") : NULL;
   if (!end)
     return false;
   const char *length = find_header (in->data, "Content-Length");
-  size_t whole = (size_t)(end - in->data) + 4 + (length ? strtoul (length, NULL, 10) : 0);
-  if (in->len < whole)
+  size_t answer_len = (size_t)(end - in->data) + 4 + (length ? strtoul (length, NULL, 10) : 0);
+  if (in->len < answer_len)
     return false;
-  *good = strncmp (in->data, "HTTP/1.1 200", 12) == 0;
-  buffer_consume (in, whole);
+  *succeeded = strncmp (in->data, "HTTP/1.1 200", 12) == 0;
+  buffer_consume (in, answer_len);
   return true;
 }
 
 static int
-compare (const void *a, const void *b)
+compare_us (const void *a, const void *b)
 {
   int64_t x = *(const int64_t *)a;
   int64_t y = *(const int64_t *)b;
@@ -120,23 +120,23 @@
 static void
 read_answer (struct bench *b, struct caller *c)
 {
-  bool good = false;
+  bool succeeded = false;
   if (!receive (c->fd, &c->in))
     {
       fprintf (stderr, "the entry closed a connection\n");
       exit (1);
     }
-  if (!answer_complete (&c->in, &good))
+  if (!answer_complete (&c->in, &succeeded))
     return;
   b->latencies[b->done++] = now_us () - c->sent_us;
-  b->failed += !good;
-  if (b->done % (b->total / REPORTS) == 0)
+  b->failed += !succeeded;
+  if (b->done % (b->total / MEMORY_SAMPLES) == 0)
     printf ("  after %ld requests: entry holds %ld KB\n", b->done, resident_kb (b->entry.pid));
   send_next (b, c);
 }
 
 static void
-run_all (struct bench *b)
+run_callers (struct bench *b)
 {
   for (int i = 0; i < b->connections; i++)
     {
@@ -161,18 +161,18 @@
 static double
 quantile_ms (const struct bench *b, double q)
 {
-  size_t place = (size_t)(q * (double)(b->total - 1));
-  return (double)b->latencies[place] / 1000.0;
+  size_t rank = (size_t)(q * (double)(b->total - 1));
+  return (double)b->latencies[rank] / 1000.0;
 }
 
 static void
-print_result (struct bench *b, double seconds, double processor)
+print_result (struct bench *b, double seconds, double entry_cpu_s)
 {
-  qsort (b->latencies, (size_t)b->total, sizeof *b->latencies, compare);
+  qsort (b->latencies, (size_t)b->total, sizeof *b->latencies, compare_us);
   printf ("%ld requests on %d connections: %.0f/s, %.0f per processor second of the entry, "
           "%.1f us each, p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, not 200: %ld\n",
-          b->total, b->connections, (double)b->total / seconds, (double)b->total / processor,
-          processor * 1e6 / (double)b->total, quantile_ms (b, 0.5), quantile_ms (b, 0.99),
+          b->total, b->connections, (double)b->total / seconds, (double)b->total / entry_cpu_s,
+          entry_cpu_s * 1e6 / (double)b->total, quantile_ms (b, 0.5), quantile_ms (b, 0.99),
           quantile_ms (b, 0.999), b->failed);
   printf ("tries per request %.4f\n",
           (double)statistic (b->entry.admin_port, "/stats", "tries") / (double)b->total);
@@ -188,7 +188,7 @@
   long bytes = argc > 3 ? strtol (argv[3], NULL, 10) : 500;
   const char *method = argc > 4 ? argv[4] : "GET";
   const char *customer = argc > 5 ? argv[5] : "huron";
-  if (b.total < REPORTS || b.connections < 1 || b.connections > MAX_CONNECTIONS)
+  if (b.total < MEMORY_SAMPLES || b.connections < 1 || b.connections > MAX_CONNECTIONS)
     return 2;
   b.latencies = xcalloc ((size_t)b.total, sizeof *b.latencies);
   b.request_len = (size_t)snprintf (b.request, sizeof b.request,
@@ -201,10 +201,10 @@
   if (!wait_statistic (b.entry.admin_port, "/stats", "live", BENCH_RUNNERS))
     return 1;
   printf ("entry pid %d, resident %ld KB\n", (int)b.entry.pid, resident_kb (b.entry.pid));
-  double processor = processor_s (b.entry.pid);
+  double entry_cpu_s = cpu_s (b.entry.pid);
   int64_t start = now_us ();
-  run_all (&b);
-  print_result (&b, (double)(now_us () - start) / 1e6, processor_s (b.entry.pid) - processor);
+  run_callers (&b);
+  print_result (&b, (double)(now_us () - start) / 1e6, cpu_s (b.entry.pid) - entry_cpu_s);
   for (int i = 0; i < BENCH_RUNNERS; i++)
     end_child (&runners[i], SIGKILL);
   int status = end_child (&b.entry, SIGTERM);
--- a/bench/request_policy.c
+++ b/bench/request_policy.c
@@ -1,13 +1,13 @@
-/* Compares the request path's decisions with plain baselines on the same arrivals and service
-   times.
+/* Compares the policies of the request path with simple baselines on the same arrivals and
+   service times.
 
    Usage: bench_request_policy [SEED]
 
-   An event-driven model: 8 entries, each with the real runner table, router, retry rules, limits
-   and admission queue, in front of 50 fake runners of 8 slots.  A runner serves first come, first
-   served; its answers take 1 ms each way.  Work of an abandoned try is still done.  Service times
-   are exponential with a mean of 40 ms, and every request needs the same time under every policy.
-   The ideal is one queue in front of all slots.  */
+   An event-driven simulation: 8 entries, each with the production runner table, router, retry
+   rules, limits and admission queue, in front of 50 simulated runners with 8 slots.  A runner
+   serves first come, first served; the network takes 1 ms each way.  Work of an abandoned try is
+   still done.  Service times are exponential with a mean of 40 ms and the same for a request under
+   every policy.  The ideal is one queue in front of all slots.  */
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -52,9 +52,9 @@
 enum fault
 {
   NO_FAULT,
-  ONE_SLOW,    /* 10 times slower */
+  ONE_SLOW,    /* 10 times slower than the others */
   ONE_FAILING, /* answers 500 within a millisecond */
-  TENTH_LOST,  /* refuse connections from a third of the run on */
+  TENTH_LOST,  /* every tenth refuses connections after a third of the run */
   ALL_FAILING,
   FAULTS
 };
@@ -62,12 +62,12 @@
 struct scenario
 {
   const char *name;
-  double load_from; /* of the capacity, at the start */
-  double load_to;   /* at the end */
+  double load_from; /* share of the capacity at the start */
+  double load_to;   /* share of the capacity at the end */
   double length_ms;
   enum fault fault;
-  double bulk_load; /* of one huge customer, in batch requests */
-  double step_ms;   /* load_to holds from this time on at once; 0: a ramp */
+  double bulk_load; /* batch load of one large customer, as a share of the capacity */
+  double step_ms;   /* time of a step to load_to; 0: linear ramp */
 };
 
 enum event_kind
@@ -86,8 +86,8 @@
 struct attempt
 {
   struct call *call;
-  struct runner *runner; /* the entry's record */
-  int number;            /* of the runner */
+  struct runner *runner; /* in the runner table of the entry */
+  int runner_index;      /* index of the runner */
   double started;
   bool abandoned;
   bool failed;
@@ -101,14 +101,14 @@
   struct admission_item item; /* first member */
   int entry;
   double arrived;
-  double need_ms;
+  double service_ms;
   double deadline;
   bool urgent;
   bool serving;
   bool ended;
   bool hedged;
   unsigned tries;
-  unsigned references; /* events and attempts that point here */
+  unsigned references; /* one per event and attempt, and one until the call ends */
   struct runner *last;
   struct attempt *open[MAX_TRIES_OPEN];
 };
@@ -116,7 +116,7 @@
 struct event
 {
   double at;
-  uint64_t order;
+  uint64_t sequence;
   enum event_kind kind;
   void *object;
 };
@@ -127,7 +127,7 @@
   unsigned waiting;
   struct attempt *head;
   struct attempt **tail;
-  double factor;
+  double slowdown;
   bool failing;
   bool lost;
 };
@@ -145,9 +145,9 @@
 
 struct result
 {
-  double *latencies; /* of urgent requests that were answered in time */
+  double *latencies; /* of urgent requests answered before their deadline */
   size_t count;
-  size_t requests; /* urgent, after the warm-up */
+  size_t requests; /* urgent requests after the warm-up */
   size_t refused;
   uint64_t all_requests;
   uint64_t tries;
@@ -165,7 +165,7 @@
   struct event *heap;
   size_t heap_len;
   size_t heap_capacity;
-  uint64_t order;
+  uint64_t sequence;
   double now;
   double end;
   struct result result;
@@ -176,7 +176,7 @@
 static bool
 earlier (const struct event *a, const struct event *b)
 {
-  return a->at < b->at || (a->at == b->at && a->order < b->order);
+  return a->at < b->at || (a->at == b->at && a->sequence < b->sequence);
 }
 
 static void
@@ -187,7 +187,7 @@
       s->heap_capacity = s->heap_capacity ? 2 * s->heap_capacity : 1024;
       s->heap = xrealloc (s->heap, s->heap_capacity * sizeof *s->heap);
     }
-  struct event e = { at, s->order++, kind, object };
+  struct event e = { at, s->sequence++, kind, object };
   size_t i = s->heap_len++;
   while (i > 0 && earlier (&e, &s->heap[(i - 1) / 2]))
     {
@@ -230,16 +230,16 @@
 static void
 begin_service (struct sim *s, struct attempt *a)
 {
-  struct fake_runner *r = &s->runners[a->number];
+  struct fake_runner *r = &s->runners[a->runner_index];
   r->in_service++;
   a->failed = r->failing;
-  schedule (s, s->now + (r->failing ? 0.5 : a->call->need_ms * r->factor), SERVED, a);
+  schedule (s, s->now + (r->failing ? 0.5 : a->call->service_ms * r->slowdown), SERVED, a);
 }
 
 static void
 at_runner (struct sim *s, struct attempt *a)
 {
-  struct fake_runner *r = &s->runners[a->number];
+  struct fake_runner *r = &s->runners[a->runner_index];
   if (r->lost)
     {
       a->refused_connection = true;
@@ -260,7 +260,7 @@
 static void
 served (struct sim *s, struct attempt *a)
 {
-  struct fake_runner *r = &s->runners[a->number];
+  struct fake_runner *r = &s->runners[a->runner_index];
   a->failed |= r->lost;
   a->load = r->in_service + r->waiting;
   r->in_service--;
@@ -284,19 +284,19 @@
 }
 
 static void
-unref (struct call *c)
+call_unref (struct call *c)
 {
   if (--c->references == 0)
     free (c);
 }
 
 static bool
-counted (const struct sim *s, const struct call *c)
+is_measured (const struct sim *s, const struct call *c)
 {
   return c->arrived >= START_MS + WARM_UP_MS && c->arrived < s->end;
 }
 
-static void pump (struct sim *s, struct entry *e);
+static void dispatch_queued (struct sim *s, struct entry *e);
 
 static void
 end_call (struct sim *s, struct call *c, bool answered)
@@ -316,20 +316,20 @@
                        s->now - c->open[i]->started, 0, now_ms (s));
         c->open[i] = NULL;
       }
-  if (answered && counted (s, c))
+  if (answered && is_measured (s, c))
     {
       if (c->urgent)
         s->result.latencies[s->result.count++] = s->now - c->arrived;
       else
         s->result.bulk_answered++;
     }
-  unref (c);
+  call_unref (c);
 }
 
 static void
 refuse (struct sim *s, struct call *c)
 {
-  if (counted (s, c) && c->urgent)
+  if (is_measured (s, c) && c->urgent)
     s->result.refused++;
   end_call (s, c, false);
 }
@@ -341,7 +341,7 @@
   struct entry *e = &s->entries[c->entry];
   a->call = c;
   a->runner = runner;
-  a->number = (int)strtol (runner->info.id + 1, NULL, 10);
+  a->runner_index = (int)strtol (runner->info.id + 1, NULL, 10);
   a->started = s->now;
   c->references++;
   c->tries++;
@@ -359,7 +359,7 @@
 }
 
 static struct retry_request
-view (const struct call *c)
+retry_request_of (const struct call *c)
 {
   struct retry_request q = {
     .idempotent = true, .replayable = true, .tries = c->tries, .deadline_ms = (int64_t)c->deadline
@@ -368,7 +368,7 @@
 }
 
 static void
-launch (struct sim *s, struct call *c, struct runner *runner)
+start_call (struct sim *s, struct call *c, struct runner *runner)
 {
   struct entry *e = &s->entries[c->entry];
   c->serving = true;
@@ -381,7 +381,7 @@
 }
 
 static void
-pump (struct sim *s, struct entry *e)
+dispatch_queued (struct sim *s, struct entry *e)
 {
   struct admission_item *item;
   while ((item = admission_pop_expired (e->admission, now_ms (s))))
@@ -391,7 +391,7 @@
       struct runner *runner = router_pick (&e->router, "pricing", NULL, now_ms (s));
       if (!runner || !(item = admission_pop (e->admission, now_ms (s))))
         return;
-      launch (s, (struct call *)item, runner);
+      start_call (s, (struct call *)item, runner);
     }
 }
 
@@ -425,13 +425,13 @@
 after_failure (struct sim *s, struct call *c, enum retry_cause cause)
 {
   struct entry *e = &s->entries[c->entry];
-  struct retry_request q = view (c);
+  struct retry_request q = retry_request_of (c);
   if (c->ended || c->open[0])
     return;
   if (!retry_allowed (&q, cause, now_ms (s)) || !retry_budget_take (&e->budget))
     {
       end_call (s, c, false);
-      pump (s, e);
+      dispatch_queued (s, e);
       return;
     }
   double wait = cause == RETRY_NOT_SENT && c->tries == 1
@@ -441,7 +441,7 @@
   schedule (s, s->now + (s->policy == NAIVE_RETRY ? 0.0 : wait), RETRY, c);
 }
 
-/* Deadline, hedge or timeout of the only open try.  */
+/* Handles the deadline, or the hedge or timeout of the only pending try.  */
 static void
 check (struct sim *s, struct call *c)
 {
@@ -452,11 +452,11 @@
     {
       admission_remove (e->admission, &c->item);
       end_call (s, c, false);
-      pump (s, e);
+      dispatch_queued (s, e);
       return;
     }
   struct attempt *a = c->open[0];
-  struct retry_request q = view (c);
+  struct retry_request q = retry_request_of (c);
   if (!a || c->open[1])
     return;
   if (s->policy == FULL && !c->hedged && retry_hedge_allowed (&q, c->urgent))
@@ -500,13 +500,13 @@
         {
           retry_latency_add (&e->latency[c->urgent], latency, now_ms (s));
           end_call (s, c, true);
-          pump (s, e);
+          dispatch_queued (s, e);
         }
       else
         after_failure (s, c, a->refused_connection ? RETRY_NOT_SENT : RETRY_FAILED);
     }
   free (a);
-  unref (c);
+  call_unref (c);
 }
 
 static void
@@ -515,7 +515,7 @@
   struct entry *e = &s->entries[c->entry];
   struct admission_item *evicted = NULL;
   const char *customer = c->urgent ? "many" : "huge";
-  c->references++; /* until it ends */
+  c->references++; /* released by end_call */
   if (limit_enter (e->limit, customer, now_ms (s), NULL) < 0
       || admission_push (e->admission, &c->item, customer, c->urgent, (int64_t)c->deadline,
                          now_ms (s), &evicted, NULL)
@@ -527,7 +527,7 @@
   if (evicted)
     refuse (s, (struct call *)evicted);
   schedule_check (s, c, c->deadline);
-  pump (s, e);
+  dispatch_queued (s, e);
 }
 
 /* ---- arrivals ---- */
@@ -536,10 +536,10 @@
 load_at (const struct sim *s, double at)
 {
   const struct scenario *c = &s->scenario;
-  double part = (at - START_MS) / c->length_ms;
+  double elapsed_fraction = (at - START_MS) / c->length_ms;
   if (c->step_ms > 0.0)
     return at - START_MS < c->step_ms ? c->load_from : c->load_to;
-  return c->load_from + (c->load_to - c->load_from) * part;
+  return c->load_from + (c->load_to - c->load_from) * elapsed_fraction;
 }
 
 static struct call *
@@ -549,7 +549,7 @@
   c->arrived = s->now;
   c->urgent = urgent;
   c->entry = (int)rng_below (&s->arrivals, ENTRIES);
-  c->need_ms = rng_exponential (&s->arrivals, urgent ? MEAN_MS : BULK_MEAN_MS);
+  c->service_ms = rng_exponential (&s->arrivals, urgent ? MEAN_MS : BULK_MEAN_MS);
   c->deadline = s->now + (urgent ? DEADLINE_MS : BULK_DEADLINE_MS);
   return c;
 }
@@ -564,7 +564,7 @@
   bool urgent = rng_unit (&s->arrivals) * (urgent_rate + bulk_rate) < urgent_rate;
   struct call *c = new_call (s, urgent);
   s->result.all_requests++;
-  if (counted (s, c) && urgent)
+  if (is_measured (s, c) && urgent)
     s->result.requests++;
   double gap = rng_exponential (&s->arrivals, 1.0 / (urgent_rate + bulk_rate));
   schedule (s, s->now + gap, ARRIVAL, NULL);
@@ -628,7 +628,7 @@
     {
       struct fake_runner *r = &s->runners[i];
       if (s->scenario.fault == ONE_SLOW && i == 0 && late)
-        r->factor = 10.0;
+        r->slowdown = 10.0;
       if (s->scenario.fault == ONE_FAILING && i == 0 && late)
         r->failing = true;
       if (s->scenario.fault == TENTH_LOST && i % 10 == 0 && late)
@@ -648,7 +648,7 @@
     announce_all (s);
   exchange_digests (s);
   for (int i = 0; i < ENTRIES; i++)
-    pump (s, &s->entries[i]);
+    dispatch_queued (s, &s->entries[i]);
   if (s->now < s->end + 2.0 * DEADLINE_MS)
     schedule (s, s->now + TICK_MS, TICK, NULL);
 }
@@ -723,11 +723,11 @@
           break;
         case RETRY:
           retry (s, e.object);
-          unref (e.object);
+          call_unref (e.object);
           break;
         case CHECK:
           check (s, e.object);
-          unref (e.object);
+          call_unref (e.object);
           break;
         case TICK:
           tick (s);
@@ -751,7 +751,7 @@
 }
 
 static size_t
-most_requests (const struct scenario *c)
+max_requests (const struct scenario *c)
 {
   double top = c->load_from > c->load_to ? c->load_from : c->load_to;
   return (size_t)(top * CAPACITY_PER_MS * c->length_ms * 1.2) + 10000;
@@ -767,11 +767,11 @@
   s.now = START_MS;
   s.end = START_MS + c->length_ms;
   s.result.measured_ms = c->length_ms - WARM_UP_MS;
-  s.result.latencies = xmalloc (most_requests (c) * sizeof (double));
+  s.result.latencies = xmalloc (max_requests (c) * sizeof (double));
   rng_init (&s.arrivals, seed);
   for (int i = 0; i < RUNNERS; i++)
     {
-      s.runners[i].factor = 1.0;
+      s.runners[i].slowdown = 1.0;
       s.runners[i].tail = &s.runners[i].head;
     }
   for (int i = 0; i < ENTRIES; i++)
@@ -791,21 +791,21 @@
   return s.result;
 }
 
-/* One queue in front of all slots, with the same arrivals.  */
+/* Simulates one queue in front of all slots, with the same arrivals.  */
 static struct result
 run_ideal (const struct scenario *c, uint64_t seed)
 {
   static double free_at[RUNNERS * SLOTS];
   struct sim s = { .scenario = *c, .now = START_MS, .end = START_MS + c->length_ms };
   struct result r = { .measured_ms = c->length_ms - WARM_UP_MS };
-  r.latencies = xmalloc (most_requests (c) * sizeof (double));
+  r.latencies = xmalloc (max_requests (c) * sizeof (double));
   rng_init (&s.arrivals, seed);
   for (int i = 0; i < RUNNERS * SLOTS; i++)
     free_at[i] = START_MS;
   for (s.now = START_MS + 10.0; s.now < s.end;)
     {
       double rate = load_at (&s, s.now) * CAPACITY_PER_MS;
-      rng_unit (&s.arrivals); /* the class, drawn by the other runs */
+      rng_unit (&s.arrivals); /* the class draw of the other runs, to keep the sequence */
       struct call *call = new_call (&s, true);
       double gap = rng_exponential (&s.arrivals, 1.0 / rate);
       int best = 0;
@@ -813,8 +813,8 @@
         if (free_at[i] < free_at[best])
           best = i;
       double begin = free_at[best] > s.now ? free_at[best] : s.now;
-      free_at[best] = begin + call->need_ms;
-      if (counted (&s, call))
+      free_at[best] = begin + call->service_ms;
+      if (is_measured (&s, call))
         {
           r.requests++;
           if (free_at[best] + 2.0 * NETWORK_MS <= call->deadline)
--- a/bench/scheduler_cost.c
+++ b/bench/scheduler_cost.c
@@ -1,8 +1,9 @@
-/* Processor time of the cell leader: per start (submission to recorded end), per heartbeat and per
-   choice of victims, at 1,400 workers with 13,000 tasks and at 4 times that.  The log is applied at
-   once; consensus and transport are not part of the figures.
+/* CPU time of the cell leader per start (submission to recorded end), per heartbeat and per victim
+   selection, at 1,400 workers with 13,000 tasks and at 4 times that size.  Log entries are applied
+   immediately; consensus and transport are excluded.
 
-   Usage: bench_scheduler_cost [SECONDS [WORKERS TASKS]]   With WORKERS and TASKS only that size. */
+   Usage: bench_scheduler_cost [SECONDS [WORKERS TASKS]]   With WORKERS and TASKS: only that size.
+ */
 
 #include <malloc.h>
 #include <stdio.h>
@@ -14,8 +15,8 @@
 #include "scheduler.h"
 
 #define TICK_MS 100
-#define STARTS_PER_TICK 50 /* 500 a second */
-#define SLOTS 64
+#define STARTS_PER_TICK 50 /* 500 per second */
+#define WORKER_SLOTS 64
 
 struct slot
 {
@@ -24,15 +25,15 @@
   enum cell_report_kind state;
 };
 
-struct light_worker
+struct bench_worker
 {
   char id[24];
   char rack[32];
   uint64_t sequence;
   bool polling;
-  bool again; /* a task ended: poll at once */
+  bool poll_due; /* a task ended; poll immediately */
   int64_t polled_ms;
-  struct slot slots[SLOTS];
+  struct slot slots[WORKER_SLOTS];
   size_t count;
 };
 
@@ -40,7 +41,7 @@
 {
   struct cell cell;
   struct scheduler *sched;
-  struct light_worker *workers;
+  struct bench_worker *workers;
   size_t worker_count;
   size_t task_count;
   int64_t now_ms;
@@ -53,7 +54,7 @@
 };
 
 static double
-cpu (void)
+cpu_s (void)
 {
   struct timespec t;
   clock_gettime (CLOCK_PROCESS_CPUTIME_ID, &t);
@@ -70,7 +71,7 @@
 }
 
 static void
-drain (struct bench *b)
+commit_proposals (struct bench *b)
 {
   struct scheduler_proposal p;
   while (scheduler_next_proposal (b->sched, b->now_ms, &p))
@@ -112,9 +113,9 @@
 }
 
 static void
-poll_worker (struct bench *b, struct light_worker *w)
+poll_worker (struct bench *b, struct bench_worker *w)
 {
-  struct worker_task list[SLOTS];
+  struct worker_task list[WORKER_SLOTS];
   struct status st;
   memset (list, 0, sizeof list);
   for (size_t i = 0; i < w->count; i++)
@@ -132,22 +133,22 @@
       scheduler_announce (b->sched, b->now_ms, &a, &st);
     }
   struct worker_poll p = { w->id, 1, ++w->sequence, 2000, 9000, list, w->count };
-  double t = cpu ();
+  double t = cpu_s ();
   scheduler_poll (b->sched, b->now_ms, &p, &st);
-  b->poll_s += cpu () - t;
+  b->poll_s += cpu_s () - t;
   b->polls++;
   w->polling = true;
-  w->again = false;
+  w->poll_due = false;
   w->polled_ms = b->now_ms;
 }
 
 static void
-obey (struct bench *b, struct light_worker *w, const struct worker_command *c)
+apply_worker_command (struct bench *b, struct bench_worker *w, const struct worker_command *c)
 {
   size_t i = 0;
   while (i < w->count && (w->slots[i].task != c->task || w->slots[i].epoch != c->epoch))
     i++;
-  if (c->kind == WORKER_START && i == w->count && w->count < SLOTS)
+  if (c->kind == WORKER_START && i == w->count && w->count < WORKER_SLOTS)
     {
       w->slots[w->count++] = (struct slot){ c->task, c->epoch, CELL_REPORT_RUNNING };
       b->started++;
@@ -166,21 +167,21 @@
   struct status st;
   while ((id = scheduler_next_ready (b->sched)))
     {
-      struct light_worker *w = &b->workers[atoi (id + 1)];
+      struct bench_worker *w = &b->workers[atoi (id + 1)];
       if (scheduler_answer (b->sched, b->now_ms, id, &a, &st) != 0)
         continue;
       w->polling = false;
       for (size_t i = 0; i < a.count; i++)
-        obey (b, w, &a.commands[i]);
+        apply_worker_command (b, w, &a.commands[i]);
     }
 }
 
 static void
-end_one (struct bench *b)
+finish_random_task (struct bench *b)
 {
   for (int tries = 0; tries < 100; tries++)
     {
-      struct light_worker *w = &b->workers[rng_below (&b->rng, b->worker_count)];
+      struct bench_worker *w = &b->workers[rng_below (&b->rng, b->worker_count)];
       if (w->count == 0)
         continue;
       struct slot *s = &w->slots[rng_below (&b->rng, w->count)];
@@ -190,7 +191,7 @@
       if (!t || t->job->spec.kind == CELL_URGENT)
         continue;
       s->state = CELL_REPORT_DONE;
-      w->again = true;
+      w->poll_due = true;
       return;
     }
 }
@@ -202,18 +203,18 @@
   scheduler_confirm_leadership (b->sched, b->now_ms + 1000);
   scheduler_extend_permit (b->sched, b->now_ms + 3000);
   for (uint32_t i = 0; i < starts; i++)
-    end_one (b);
+    finish_random_task (b);
   for (size_t i = 0; i < b->worker_count; i++)
-    if (!b->workers[i].polling || b->workers[i].again)
+    if (!b->workers[i].polling || b->workers[i].poll_due)
       poll_worker (b, &b->workers[i]);
-  double t = cpu ();
+  double t = cpu_s ();
   for (uint32_t i = 0; i < starts; i++)
     submit (b, CELL_BATCH, 1000);
   scheduler_tick (b->sched, b->now_ms);
-  drain (b);
+  commit_proposals (b);
   answer_ready (b);
-  drain (b);
-  b->other_s += cpu () - t;
+  commit_proposals (b);
+  b->other_s += cpu_s () - t;
 }
 
 static void
@@ -241,7 +242,7 @@
     tick (b, 0);
 }
 
-/* Fills the cell with batch tasks and asks for urgent ones.  */
+/* Fills the cell with batch tasks, then submits urgent ones.  */
 static void
 measure_evictions (struct bench *b)
 {
@@ -252,16 +253,17 @@
   struct scheduler_stats before;
   struct scheduler_stats after;
   scheduler_stats (b->sched, &before);
-  uint32_t asked = 200;
-  for (uint32_t i = 0; i < asked; i++)
+  uint32_t urgent_count = 200;
+  for (uint32_t i = 0; i < urgent_count; i++)
     submit (b, CELL_URGENT, 4000);
-  double t = cpu ();
+  double t = cpu_s ();
   scheduler_tick (b->sched, b->now_ms += TICK_MS);
-  double spent = cpu () - t;
+  double cpu_used_s = cpu_s () - t;
   scheduler_stats (b->sched, &after);
   printf (
       "  eviction choice: %.0f us per urgent task (%u asked, %llu victims), one tick with all\n",
-      spent * 1e6 / asked, asked, (unsigned long long)(after.evictions - before.evictions));
+      cpu_used_s * 1e6 / urgent_count, urgent_count,
+      (unsigned long long)(after.evictions - before.evictions));
 }
 
 static void
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -1,12 +1,12 @@
-/* Policy of the scheduler against a plain baseline (first fit, no learning, evict newest, no
-   quarantine, order of submission) on the same seeds.  Workers are fakes; what slows what is known
-   here and hidden from the scheduler, which sees samples that are LAG_S old.
+/* Compares the scheduler's policy with a simple baseline (first fit, no learning, evict newest, no
+   quarantine, submission order) on the same seeds.  Workers are simulated.  The scheduler does not
+   see the interference between classes, only samples that are LAG_S seconds old.
 
    Usage: bench_scheduler_policy [SEEDS [SCENARIO]]
 
    Columns: urgent start delay and slowdown at p50/p99/p99.9; batch work kept (core-hours) and its
-   share of the reference run, in which urgent tasks take the same room but nothing slows anything;
-   deadlines met; evictions; work lost; failed jobs; wasted starts.  */
+   share of the reference run, which has the same urgent tasks but no interference; deadlines met;
+   evictions; work lost; failed jobs; wasted starts.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -30,21 +30,21 @@
 
 enum scenario
 {
-  CALM,
-  DAWN,
-  WAVES,
-  WRONG,
-  OUT,
-  FAILING,
-  CANCELS,
+  STEADY,
+  MORNING_RAMP,
+  INTERFERENCE_WAVES,
+  WRONG_ESTIMATES,
+  DATA_CENTRE_OUT,
+  FAILING_WORKERS,
+  CANCEL_BURSTS,
   SCENARIOS
 };
 
 static const char *const scenario_names[]
     = { "calm", "dawn", "waves", "wrong", "out-back", "failing", "cancels" };
 
-/* Slowdown of a service per share of the worker's processors that the class uses.  */
-static const double truth[SERVICES][CLASSES] = {
+/* Slowdown of a service per share of the worker's processors that a class uses.  */
+static const double class_interference[SERVICES][CLASSES] = {
   { 0.05, 0.10, 0.05, 0.5, 1.5, 2.5 },
   { 0.10, 0.05, 0.05, 0.2, 2.0, 0.3 },
   { 0.05, 0.05, 0.10, 0.4, 0.5, 1.8 },
@@ -65,14 +65,14 @@
 {
   double *delays;
   size_t delay_count;
-  uint64_t slowdowns[SLOWDOWN_BUCKETS];
+  uint64_t slowdown_counts[SLOWDOWN_BUCKETS];
   uint64_t slowdown_count;
   double kept_core_h;
   double lost_core_h;
   uint64_t met;
   uint64_t missed;
   uint64_t evictions;
-  uint64_t slowdown_evictions; /* part of the evictions */
+  uint64_t slowdown_evictions; /* included in evictions */
   uint64_t throttles;
   uint64_t failed_jobs;
   uint64_t starts;
@@ -85,8 +85,8 @@
   struct scheduler *sched;
   const struct setup *setup;
   enum scenario scenario;
-  bool harmless;  /* reference: nothing slows anything */
-  struct rng rng; /* workload: the same sequence for every policy */
+  bool no_interference; /* reference run */
+  struct rng rng;       /* workload; the same sequence under every policy */
   struct rng noise;
   int64_t now_ms;
   int64_t start_ms;
@@ -97,12 +97,12 @@
   uint32_t urgent_millicores[4096];
   size_t urgent_first;
   size_t urgent_count;
-  double urgent_now; /* millicores asked for */
-  double batch_due;  /* core-ms of batch work that should have been submitted */
+  double urgent_requested; /* requested millicores */
+  double batch_due;        /* core-ms of batch work still to submit */
   uint64_t burst[2000];
   size_t burst_count;
-  struct scheduler_proposal waiting[64];
-  size_t waiting_count;
+  struct scheduler_proposal proposals[64];
+  size_t proposal_count;
   struct result *result;
 };
 
@@ -175,7 +175,7 @@
   size_t at = (s->urgent_first + s->urgent_count++) % 4096;
   s->urgent_jobs[at] = id;
   s->urgent_millicores[at] = spec.size.millicores * spec.replicas;
-  s->urgent_now += s->urgent_millicores[at];
+  s->urgent_requested += s->urgent_millicores[at];
 }
 
 static void
@@ -191,7 +191,7 @@
 cancel_urgent (struct sim *s)
 {
   cancel (s, &s->urgent_jobs[s->urgent_first], 1);
-  s->urgent_now -= s->urgent_millicores[s->urgent_first];
+  s->urgent_requested -= s->urgent_millicores[s->urgent_first];
   s->urgent_first = (s->urgent_first + 1) % 4096;
   s->urgent_count--;
 }
@@ -200,17 +200,17 @@
 pick_class (struct sim *s)
 {
   int64_t at = s->now_ms - s->start_ms;
-  bool wave = s->scenario == WAVES && (at / 150000) % 2 == 1;
+  bool wave = s->scenario == INTERFERENCE_WAVES && (at / 150000) % 2 == 1;
   if (wave && rng_chance (&s->rng, 0.7))
     return (int)rng_between (&s->rng, 4, 5);
   return rng_chance (&s->rng, 0.8) ? (int)rng_below (&s->rng, 3) : (int)rng_between (&s->rng, 3, 5);
 }
 
 static double
-wrongness (struct sim *s)
+run_time_error (struct sim *s)
 {
   double x = exp ((rng_unit (&s->rng) * 2 - 1) * 1.1);
-  return s->scenario == WRONG ? x : 1;
+  return s->scenario == WRONG_ESTIMATES ? x : 1;
 }
 
 static uint64_t
@@ -232,9 +232,9 @@
   uint64_t run = (uint64_t)rng_between (&s->rng, 30000, 300000);
   bool has_deadline = rng_chance (&s->rng, 0.3);
   double slack = 2 + 4 * rng_unit (&s->rng);
-  /* A class errs in one direction in its size and by chance in its run time.  */
-  double size_error = s->scenario == WRONG ? 0.6 + 0.25 * class_id : 1;
-  double run_error = wrongness (s);
+  /* The size error is fixed per class; the run time error is random.  */
+  double size_error = s->scenario == WRONG_ESTIMATES ? 0.6 + 0.25 * class_id : 1;
+  double run_error = run_time_error (s);
   spec.run_ms = (uint64_t)((double)run / run_error);
   if (has_deadline)
     spec.deadline_ms = (uint64_t)((double)run * slack) + 60000;
@@ -248,7 +248,7 @@
 urgent_target (const struct sim *s)
 {
   double at = (double)(s->now_ms - s->start_ms) / RUN_MS;
-  if (s->scenario != DAWN)
+  if (s->scenario != MORNING_RAMP)
     return 0.35;
   if (at < 0.2)
     return 0.1;
@@ -261,7 +261,7 @@
 cancel_bursts (struct sim *s)
 {
   int64_t at = s->now_ms - s->start_ms;
-  if (s->scenario != CANCELS)
+  if (s->scenario != CANCEL_BURSTS)
     return;
   if (at % 180000 == 60000)
     {
@@ -276,16 +276,16 @@
 }
 
 static void
-load (struct sim *s)
+submit_load (struct sim *s)
 {
   double target = urgent_target (s) * processors (s);
-  if (s->urgent_now + 4000 < target && rng_chance (&s->rng, 0.2))
+  if (s->urgent_requested + 4000 < target && rng_chance (&s->rng, 0.2))
     submit_urgent (s);
-  else if (s->urgent_now > target + 4000 && s->urgent_count > 0)
+  else if (s->urgent_requested > target + 4000 && s->urgent_count > 0)
     cancel_urgent (s);
   else if (s->urgent_count > 0 && rng_chance (&s->rng, 0.002))
-    cancel_urgent (s); /* deployments: services come and go */
-  /* Batch work a tenth above what is left beside the urgent work, so that the queue never dries. */
+    cancel_urgent (s); /* services are replaced, as by deployments */
+  /* Batch work exceeds the remaining capacity by a tenth, so that the queue never runs empty.  */
   s->batch_due += (1.1 - urgent_target (s)) * processors (s) / 1000 * STEP_MS;
   while (s->batch_due > 0)
     submit_batch (s);
@@ -298,21 +298,22 @@
 slowdown_on (struct sim *s, const struct fake_worker *w, const struct fake_task *f)
 {
   double used = 0;
-  double harm = 0;
-  if (s->harmless)
+  double interference = 0;
+  if (s->no_interference)
     return 1;
   for (size_t i = 0; i < w->count; i++)
     if (fake_running (&w->tasks[i]))
-      used += fake_use (&w->tasks[i]);
+      used += fake_usage (&w->tasks[i]);
   double load_factor = used / w->size.millicores > 0.8 ? 1.15 : 1;
   for (size_t i = 0; i < w->count; i++)
     {
       const struct fake_task *o = &w->tasks[i];
       if (o->urgent || !fake_running (o))
         continue;
-      harm += truth[f->service[1] - '0'][o->service[1] - '0'] * fake_use (o) / w->size.millicores;
+      interference += class_interference[f->service[1] - '0'][o->service[1] - '0'] * fake_usage (o)
+                      / w->size.millicores;
     }
-  return (1 + harm * load_factor) * fake_contention (w);
+  return (1 + interference * load_factor) * fake_contention (w);
 }
 
 static void
@@ -324,17 +325,18 @@
       struct fake_task *f = &w->tasks[i];
       if (!fake_running (f))
         continue;
-      f->uses[second % FAKE_LAG] = fake_use (f);
-      f->reported_millicores = f->uses[(second - LAG_S) % FAKE_LAG];
+      f->usage_history[second % FAKE_HISTORY_S] = fake_usage (f);
+      f->reported_millicores = f->usage_history[(second - LAG_S) % FAKE_HISTORY_S];
       if (!f->urgent)
         continue;
       double x = slowdown_on (s, w, f);
       size_t bucket = (size_t)((x - 1) * 1000);
-      s->result->slowdowns[bucket < SLOWDOWN_BUCKETS ? bucket : SLOWDOWN_BUCKETS - 1]++;
+      s->result->slowdown_counts[bucket < SLOWDOWN_BUCKETS ? bucket : SLOWDOWN_BUCKETS - 1]++;
       s->result->slowdown_count++;
       double seen = x + 0.02 * (rng_unit (&s->noise) - 0.5);
-      f->slowdowns[second % FAKE_LAG] = s->harmless ? 0 : (uint32_t)(seen * 1000);
-      f->slowdown_milli = f->slowdowns[(second - LAG_S) % FAKE_LAG];
+      f->slowdown_history[second % FAKE_HISTORY_S]
+          = s->no_interference ? 0 : (uint32_t)(seen * 1000);
+      f->slowdown_milli = f->slowdown_history[(second - LAG_S) % FAKE_HISTORY_S];
     }
 }
 
@@ -361,7 +363,7 @@
 }
 
 static void
-note_start (struct sim *s, const struct fake_command *c)
+record_start (struct sim *s, const struct fake_command *c)
 {
   const struct cell_task *t = cell_find_task (&s->cell, c->c.task);
   s->result->starts++;
@@ -372,14 +374,14 @@
   s->result->delays[s->result->delay_count++] = (double)(now - t->job->submitted_ms);
 }
 
-/* What a cancelled task leaves behind is not work lost.  */
+/* The work of a cancelled task does not count as lost.  */
 static void
-note_stop (struct sim *s, struct fake_worker *w, const struct fake_command *c)
+record_stop (struct sim *s, struct fake_worker *w, const struct fake_command *c)
 {
   const struct cell_task *t = cell_find_task (&s->cell, c->c.task);
   struct fake_task *f = fake_find (w, c->c.task, c->c.epoch);
   if (t && f && t->job->cancelled)
-    f->kept_ms = (uint64_t)f->work_ms;
+    f->checkpointed_ms = (uint64_t)f->work_ms;
 }
 
 static void
@@ -397,10 +399,10 @@
       uint64_t before = w->started;
       fake_copy_command (&c, &a.commands[i]);
       if (c.c.kind == WORKER_STOP)
-        note_stop (s, w, &c);
+        record_stop (s, w, &c);
       fake_command_apply (w, &c, s->now_ms, w->poll_sent_ms);
       if (w->started != before)
-        note_start (s, &c);
+        record_start (s, &c);
     }
 }
 
@@ -410,8 +412,8 @@
   for (size_t i = 0; i < s->setup->workers; i++)
     {
       struct fake_worker *w = &s->workers[i];
-      /* Two workers die for good minutes in the scenario of failing workers.  */
-      if (s->scenario == FAILING && i % 20 == 1)
+      /* In the failing scenario one worker in 20 is down from minute 10 to minute 15.  */
+      if (s->scenario == FAILING_WORKERS && i % 20 == 1)
         {
           int64_t at = s->now_ms - s->start_ms;
           if (w->up && at > 600000 && at < 900000)
@@ -433,26 +435,26 @@
 {
   s->now_ms += STEP_MS;
   int64_t at = s->now_ms - s->start_ms;
-  bool out = s->scenario == OUT && at > 600000 && at < 900000;
-  if (s->scenario == OUT && (at == 600020 || at == 900000))
+  bool out = s->scenario == DATA_CENTRE_OUT && at > 600000 && at < 900000;
+  if (s->scenario == DATA_CENTRE_OUT && (at == 600020 || at == 900000))
     scheduler_set_data_centre_out (s->sched, s->now_ms, out);
   scheduler_confirm_leadership (s->sched, s->now_ms + 1000);
   if (!out)
     scheduler_extend_permit (s->sched, s->now_ms + 3000);
-  /* What was proposed in the last step is committed now.  */
-  for (size_t i = 0; i < s->waiting_count; i++)
+  /* Commits what was proposed in the previous step.  */
+  for (size_t i = 0; i < s->proposal_count; i++)
     {
-      apply (s, &s->waiting[i].entry, NULL);
-      buffer_close (&s->waiting[i].entry);
-      scheduler_proposal_done (s->sched, s->now_ms, s->waiting[i].id, true);
+      apply (s, &s->proposals[i].entry, NULL);
+      buffer_close (&s->proposals[i].entry);
+      scheduler_proposal_done (s->sched, s->now_ms, s->proposals[i].id, true);
     }
-  s->waiting_count = 0;
-  load (s);
+  s->proposal_count = 0;
+  submit_load (s);
   step_workers (s);
   scheduler_tick (s->sched, s->now_ms);
-  while (s->waiting_count < 64
-         && scheduler_next_proposal (s->sched, s->now_ms, &s->waiting[s->waiting_count]))
-    s->waiting_count++;
+  while (s->proposal_count < 64
+         && scheduler_next_proposal (s->sched, s->now_ms, &s->proposals[s->proposal_count]))
+    s->proposal_count++;
   const char *id;
   while ((id = scheduler_next_ready (s->sched)))
     answer (s, &s->workers[atoi (id + 1)]);
@@ -464,7 +466,7 @@
   const struct cell_job *j;
   TAILQ_FOREACH (j, list, link)
   {
-    /* Only deadlines that fall into the run; cancelled jobs do not count.  */
+    /* Counts deadlines within the run; cancelled jobs are excluded.  */
     if (j->deadline_ms == 0 || j->deadline_ms > s->cell.now_ms || j->cancelled)
       continue;
     if (j->finished_ms && j->finished_ms <= j->deadline_ms && cell_job_state (j) == CELL_DONE)
@@ -500,14 +502,14 @@
 }
 
 static void
-run (const struct setup *setup, enum scenario scenario, unsigned policy, bool harmless,
+run (const struct setup *setup, enum scenario scenario, unsigned policy, bool no_interference,
      uint64_t seed, struct result *result)
 {
   static struct sim s;
   memset (&s, 0, sizeof s);
   s.setup = setup;
   s.scenario = scenario;
-  s.harmless = harmless;
+  s.no_interference = no_interference;
   s.result = result;
   rng_init (&s.rng, seed);
   rng_init (&s.noise, seed + 1000);
@@ -524,14 +526,14 @@
       w->size = (cell_size){ setup->millicores, setup->memory_mb, 0 };
       w->incarnation = 1;
       w->up = true;
-      w->bad = scenario == FAILING && i % 10 == 0;
+      w->bad = scenario == FAILING_WORKERS && i % 10 == 0;
     }
   while (s.now_ms < s.start_ms + RUN_MS)
     step (&s);
   scheduler_check (s.sched);
   finish (&s);
-  for (size_t i = 0; i < s.waiting_count; i++)
-    buffer_close (&s.waiting[i].entry);
+  for (size_t i = 0; i < s.proposal_count; i++)
+    buffer_close (&s.proposals[i].entry);
   scheduler_free (s.sched);
   cell_close (&s.cell);
 }
@@ -559,7 +561,7 @@
   uint64_t sum = 0;
   for (int i = 0; i < SLOWDOWN_BUCKETS; i++)
     {
-      sum += r->slowdowns[i];
+      sum += r->slowdown_counts[i];
       if (sum > want)
         return 1 + (i + 1) / 1000.0;
     }
--- a/demo/check-events.awk
+++ b/demo/check-events.awk
@@ -1,5 +1,5 @@
-# Checks a file of worker events: "unix_ms event task epoch worker".
-# Variables: out and back, the time in which data centre c was out (command in force, return asked).
+# Checks worker events, one per line: "unix_ms event task epoch worker".
+# Variables: out (the command took data centre c out of service) and back (its return was requested).
 {
   time = $1; event = $2; task = $3; worker = $5
   if (event == "start")
@@ -7,13 +7,13 @@
       starts++
       if (task in running)
         {
-          twice++
+          concurrent_starts++
           printf "VIOLATION task %s started on %s while it runs on %s\n", task, worker, running[task]
         }
       running[task] = worker
       if (worker ~ /^wc/ && time > out && time < back)
         {
-          late++
+          starts_while_out++
           printf "VIOLATION task %s started on %s while data centre c was out\n", task, worker
         }
     }
@@ -25,6 +25,6 @@
     }
 }
 END {
-  printf "task starts:                           %d, in two places at once: %d\n", starts, twice
-  printf "starts in data centre c while out:     %d\n", late
+  printf "task starts:                           %d, in two places at once: %d\n", starts, concurrent_starts
+  printf "starts in data centre c while out:     %d\n", starts_while_out
 }
--- a/examples/check_lists.c
+++ b/examples/check_lists.c
@@ -1,4 +1,4 @@
-/* Checks two lists and prints every fault: check_lists PLANS CUSTOMERS.  */
+/* Validates two lists and prints every error: example_check_lists PLANS CUSTOMERS  */
 #include <stdio.h>
 
 #include "sassafras.h"
--- a/examples/operator_server.c
+++ b/examples/operator_server.c
@@ -1,6 +1,6 @@
-/* One VM's operators' endpoints on a registry without replication.
+/* Serves the operator endpoints of one VM, with an unreplicated registry.
    Usage: example_operator_server IP:PORT MEMBERS-FILE VM [lossy]
-   With "lossy" every other answer is lost after its command took effect.  */
+   With "lossy", every other answer is dropped after its command was applied.  */
 #include <stdio.h>
 #include <string.h>
 
@@ -9,12 +9,12 @@
 
 #define TICK_S 0.1
 
-struct local
+struct local_registry
 {
   struct proposer proposer; /* first member: the vtable */
   struct registry *registry;
   struct permit_granter *granter;
-  bool lossy;
+  bool drops_answers;
   uint64_t index;
 };
 
@@ -22,7 +22,7 @@
 propose (struct proposer *p, uint64_t group, const void *command, size_t len, propose_done *done,
          void *arg)
 {
-  struct local *l = (struct local *)p;
+  struct local_registry *l = (struct local_registry *)p;
   struct machine *m = registry_machine (l->registry);
   struct buffer copy = { 0 };
   struct buffer result = { 0 };
@@ -30,7 +30,7 @@
   buffer_append (&copy, command, len);
   registry_stamp (copy.data, copy.len, clock_wall_ms ());
   m->ops->apply (m, ++l->index, copy.data, copy.len, &result);
-  if (l->lossy && l->index % 2 == 0)
+  if (l->drops_answers && l->index % 2 == 0)
     status_set (&st, STATUS_OUTCOME_UNKNOWN, "the answer was lost");
   if (done)
     done (arg, &st, result.data, result.len);
@@ -41,7 +41,7 @@
 static const struct proposer_ops ops = { propose };
 
 static void
-propose_body (struct local *l, registry_command *command)
+propose_body (struct local_registry *l, registry_command *command)
 {
   struct buffer encoded = { 0 };
   command->request_id = "";
@@ -50,11 +50,11 @@
   buffer_close (&encoded);
 }
 
-/* Alone, a leader is its own quorum.  */
+/* A single member is its own quorum, so leadership is always confirmed.  */
 static void
 on_tick (struct ev_loop *loop, ev_timer *w, int events)
 {
-  struct local *l = w->data;
+  struct local_registry *l = w->data;
   const registry_data_centre *list;
   size_t count = registry_data_centres (l->registry, &list);
   int64_t now_ms = clock_now_ms (clock_real ());
@@ -78,7 +78,7 @@
 }
 
 static int
-load_members (struct local *l, const char *path)
+load_members (struct local_registry *l, const char *path)
 {
   struct buffer text = { 0 };
   struct json_faults faults = { 0 };
@@ -102,7 +102,7 @@
 main (int argc, char **argv)
 {
   struct status st;
-  struct local l = { .proposer.ops = &ops, .lossy = argc > 4 };
+  struct local_registry l = { .proposer.ops = &ops, .drops_answers = argc > 4 };
   struct ev_loop *loop = ev_default_loop (0);
   ev_timer tick;
   l.registry = registry_new ();
--- a/examples/single_group.c
+++ b/examples/single_group.c
@@ -1,5 +1,5 @@
-/* A replicated registry with one voter in memory of this process and a journal in FOLDER: takes a
-   data centre out and prints the log index of the answer.  Usage: single_group FOLDER.  */
+/* Runs a replicated registry with a single voter in this process and its journal in FOLDER, takes a
+   data centre out of service and prints the log index.  Usage: example_single_group FOLDER  */
 #include <stdio.h>
 
 #include "sassafras.h"
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -1,10 +1,10 @@
-# Functions that start a deployment on loopback; sourced by the demo and by tests/path_*.sh.
+# Functions that run a deployment on loopback; sourced by the demo, benchmarks and tests/path_*.sh.
 #
-# Each VM gets an address of its own, 127.NET.DC.VM, with the same ports everywhere.  All files live
-# under $WORK, all processes started here are ended by cluster_stop.
+# Each VM has its own address, 127.NET.DC.VM; all VMs use the same ports.  All files are under $WORK.
+# cluster_stop ends all processes started here.
 #
 #   cluster_init BUILD-DIR        sets BUILD, NET and WORK
-#   cluster_members "a:2+1 b:2+1 c:2"   data centres with VMs with and without a disk
+#   cluster_members "a:2+1 b:2+1 c:2"   per data centre: VMs with and without a disk
 #   cluster_start VM | cluster_start_all | cluster_kill VM [SIGNAL] | cluster_stop
 #   start_worker ID DC [FLAG...] | start_runner ID DC [FLAG...]
 #   ctl ARG...                    sassafrasctl against the VMs that CTL_SERVERS names
@@ -15,7 +15,7 @@
 VMS=()
 DCS=()
 
-# True when a socket is open on 127.NET.*.*; /proc/net/tcp has addresses in hexadecimal, last byte
+# True if a socket is open on 127.NET.*.*.  /proc/net/tcp lists addresses in hexadecimal, last byte
 # first.
 net_in_use ()
 {
@@ -86,7 +86,7 @@
 }
 
 # A cell's voters are the local VMs with a disk; with fewer than three, the first VM of the next
-# data centre votes too.
+# data centre is a voter too.
 cells_of ()
 {
   local vm=$1 out="" i next count other
@@ -224,7 +224,7 @@
   exit 1
 }
 
-# A deployment with the lists of the second user applied, ready for work.
+# Starts a deployment with the kigali lists of examples/lists applied and waits until it is ready.
 cluster_ready ()
 {
   cluster_members "$1"
@@ -239,7 +239,7 @@
   curl -sf -m 2 "http://${VM_ADDRESS[$1]}:7402/v1/state"
 }
 
-# The VM that leads a group (registry, or the name of a data centre), as it says itself.
+# The VM that reports itself as leader of a group (registry, or the name of a data centre).
 leader_of ()
 {
   local vm text
@@ -264,7 +264,7 @@
   ctl --json jobs submit "$WORK/job.json" | sed -n 's/.*"job": *\([0-9]*\).*/\1/p'
 }
 
-# The state of the job itself, which comes before its list of tasks.
+# Matches only the state of the job, which precedes its list of tasks.
 job_in_state ()
 {
   local text
@@ -277,7 +277,7 @@
   grep -c " start " "$WORK/events" 2>/dev/null || true
 }
 
-# No task ran in two places at once, by the events of all workers.
+# Checks from the events of all workers that no task ran on two workers at once.
 check_events ()
 {
   awk -v out=0 -v back=0 -f demo/check-events.awk "$WORK/events" >"$WORK/verdict"
