--- a/bench/fake_worker.h
+++ b/bench/fake_worker.h
@@ -11,7 +11,7 @@
 
 #include "scheduler.h"
 
-#define FAKE_TASKS 256
+#define FAKE_MAX_TASKS 256
 #define FAKE_SEEN_EPOCHS 1024
 #define FAKE_HISTORY_S 8 /* length of the measurement history */
 
@@ -53,12 +53,12 @@
   cell_size size;
   bool up;
   bool announced;
-  bool bad; /* every started task fails immediately */
+  bool fails_tasks; /* every started task fails immediately */
   int64_t poll_sent_ms;
   bool poll_pending; /* a poll is in flight or held by the scheduler */
   int64_t lease_until_ms;
   int64_t covered_until_ms;
-  struct fake_task tasks[FAKE_TASKS];
+  struct fake_task tasks[FAKE_MAX_TASKS];
   size_t count;
   struct
   {
@@ -184,7 +184,7 @@
   for (size_t i = 0; i < w->count; i++)
     already_running
         = already_running || (w->tasks[i].task == c->c.task && fake_running (&w->tasks[i]));
-  if (fake_find (w, c->c.task, c->c.epoch) || w->count == FAKE_TASKS)
+  if (fake_find (w, c->c.task, c->c.epoch) || w->count == FAKE_MAX_TASKS)
     return;
   bool seen = fake_epoch_seen (w, c->c.task, c->c.epoch);
   fake_record_epoch (w, c->c.task, c->c.epoch);
@@ -197,7 +197,7 @@
     f->state = CELL_REPORT_REFUSED;
   else
     w->started++;
-  if (fake_running (f) && w->bad)
+  if (fake_running (f) && w->fails_tasks)
     f->fail_ms = 1;
 }
 
@@ -205,7 +205,7 @@
 fake_stop (struct fake_worker *w, const struct fake_command *c, int64_t now_ms)
 {
   struct fake_task *f = fake_find (w, c->c.task, c->c.epoch);
-  if (!f && w->count < FAKE_TASKS)
+  if (!f && w->count < FAKE_MAX_TASKS)
     {
       fake_record_epoch (w, c->c.task, c->c.epoch);
       f = &w->tasks[w->count++];
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -343,7 +343,7 @@
 static void
 poll_worker (struct sim *s, struct fake_worker *w)
 {
-  struct worker_task list[FAKE_TASKS];
+  struct worker_task list[FAKE_MAX_TASKS];
   struct status st;
   size_t count = fake_list (w, list);
   if (!w->announced)
@@ -526,7 +526,7 @@
       w->size = (cell_size){ setup->millicores, setup->memory_mb, 0 };
       w->incarnation = 1;
       w->up = true;
-      w->bad = scenario == FAILING_WORKERS && i % 10 == 0;
+      w->fails_tasks = scenario == FAILING_WORKERS && i % 10 == 0;
     }
   while (s.now_ms < s.start_ms + RUN_MS)
     step (&s);
--- a/tests/test_scheduler.c
+++ b/tests/test_scheduler.c
@@ -117,7 +117,7 @@
 static void
 poll_worker (struct fake_worker *w)
 {
-  struct worker_task list[FAKE_TASKS];
+  struct worker_task list[FAKE_MAX_TASKS];
   struct status st;
   size_t count = fake_list (w, list);
   if (!w->announced)
@@ -517,7 +517,7 @@
 {
   (void)state;
   open_cell (8, 4000);
-  workers[3].bad = true;
+  workers[3].fails_tasks = true;
   for (int i = 0; i < 400; i++)
     {
       submit (CELL_BATCH, 1, 1000, "run=2000");
@@ -531,7 +531,7 @@
   assert_int_equal (st.failed_jobs, 0);
   assert_int_equal (st.pending, 0);
   assert_in_range (workers[3].started, 2, 12);
-  workers[3].bad = false;
+  workers[3].fails_tasks = false;
   for (int i = 0; i < 60; i++)
     {
       submit (CELL_BATCH, 20, 1000, "run=2000");
