--- a/examples/operator_server.c
+++ b/examples/operator_server.c
@@ -115,9 +115,10 @@
                                         .vm = argv[3],
                                         .data_centre = "" };
   struct operator_api *api = operator_api_open (&config);
-  struct http_server_config http = {
-    .address = argv[1], .max_body = OPERATOR_API_MAX_BODY, .handler = on_request, .handler_arg = api
-  };
+  struct http_server_config http = { .address = argv[1],
+                                     .max_body = OPERATOR_API_MAX_BODY_BYTES,
+                                     .handler = on_request,
+                                     .handler_arg = api };
   permit_granter_become_leader (l.granter, clock_now_ms (clock_real ()));
   if (!http_server_open (loop, &http, &st))
     return fprintf (stderr, "%s\n", st.message), 1;
--- a/src/edge/daemon_http.c
+++ b/src/edge/daemon_http.c
@@ -223,7 +223,7 @@
                                               .handler = on_backend_request,
                                               .handler_arg = d };
   const struct http_server_config operators = { .address = d->settings->operators,
-                                                .max_body = OPERATOR_API_MAX_BODY,
+                                                .max_body = OPERATOR_API_MAX_BODY_BYTES,
                                                 .handler = on_operator_request,
                                                 .handler_arg = d };
   d->worker_api = (struct worker_api){ .registry = d->registry,
--- a/src/edge/operator_api.h
+++ b/src/edge/operator_api.h
@@ -21,7 +21,7 @@
 #include "registry.h"
 #include "status.h"
 
-#define OPERATOR_API_MAX_BODY (4 * 1024 * 1024) /* 1 MB of lists with every byte escaped */
+#define OPERATOR_API_MAX_BODY_BYTES (4 * 1024 * 1024) /* 1 MB of lists with every byte escaped */
 
 /* Outcome of a proposal; RESULT is set only if ST is OK.  Called exactly once, maybe at once.  */
 typedef void propose_done (void *arg, const struct status *st, const void *result, size_t len);
--- a/tests/test_operator_api.c
+++ b/tests/test_operator_api.c
@@ -144,7 +144,7 @@
                                         .token = token };
   f->api = operator_api_open (&config);
   struct http_server_config http = { .address = "127.0.0.1:0",
-                                     .max_body = OPERATOR_API_MAX_BODY,
+                                     .max_body = OPERATOR_API_MAX_BODY_BYTES,
                                      .handler = on_request,
                                      .handler_arg = f };
   f->server = http_server_open (f->loop, &http, &st);
