--- a/src/base/status.h
+++ b/src/base/status.h
@@ -26,7 +26,7 @@
   STATUS_VERSION_CONFLICT,   /* compare-and-set lost; the answer carries the current version */
   STATUS_NOT_LEADER,         /* another VM leads the group */
   STATUS_NO_QUORUM,          /* not accepted: no leader or no majority */
-  STATUS_OUTCOME_UNKNOWN,    /* may have happened; repeat with the same request id */
+  STATUS_OUTCOME_UNKNOWN,    /* may have happened; retry with the same request id */
   STATUS_IN_PROGRESS,        /* the same request id is still running */
   STATUS_OVERLOADED,         /* queue full or capacity used up */
   STATUS_LIMIT_EXCEEDED,     /* the customer's plan limit is reached */
--- a/src/edge/daemon.c
+++ b/src/edge/daemon.c
@@ -11,7 +11,7 @@
 #include "log.h"
 
 #define MS_PER_S 1000.0
-#define STOP_TIMEOUT_MS 5000 /* for leadership transfers, open operator and backend requests */
+#define STOP_TRANSFER_TIMEOUT_MS 5000 /* and for operator, backend requests; none for the proxy */
 
 static void
 dump_state (struct daemon *d)
@@ -61,7 +61,7 @@
 }
 
 static void
-on_idle (struct ev_loop *loop, ev_idle *w, int events)
+on_flush_idle (struct ev_loop *loop, ev_idle *w, int events)
 {
   (void)loop;
   (void)w;
@@ -98,7 +98,7 @@
     }
   log_line (LOG_INFO, "planned stop: failing the health check");
   d->stopping = true;
-  d->stop_deadline_ms = clock_now_ms (d->clock) + STOP_TIMEOUT_MS;
+  d->stop_deadline_ms = clock_now_ms (d->clock) + STOP_TRANSFER_TIMEOUT_MS;
   daemon_transfer_leadership (d);
   ev_timer_start (loop, &d->drain_timer);
 }
@@ -117,7 +117,7 @@
   ev_timer_init (&d->tick, on_tick, 0.0, DAEMON_TICK_MS / MS_PER_S);
   ev_timer_init (&d->drain_timer, on_drain_delay, DAEMON_DRAIN_DELAY_MS / MS_PER_S, 0.0);
   ev_prepare_init (&d->flush, on_flush);
-  ev_idle_init (&d->flush_pending, on_idle);
+  ev_idle_init (&d->flush_idle, on_flush_idle);
   ev_signal_init (&d->on_term, on_stop_signal, SIGTERM);
   ev_signal_init (&d->on_int, on_stop_signal, SIGINT);
   ev_signal_init (&d->on_dump, on_dump_signal, SIGUSR1);
--- a/src/edge/daemon.h
+++ b/src/edge/daemon.h
@@ -21,7 +21,7 @@
 struct daemon;
 
 struct daemon *daemon_open (const struct settings *settings,
-                            struct status *st); /* NULL, ST on failure; SETTINGS must outlive it. */
+                            struct status *st); /* Borrows SETTINGS; NULL and ST on failure. */
 int daemon_run (struct daemon *d);              /* Runs until stopped; returns the exit code. */
 void daemon_close (struct daemon *d);           /* Frees everything. */
 
--- a/src/edge/daemon_groups.c
+++ b/src/edge/daemon_groups.c
@@ -354,9 +354,9 @@
         }
     }
   if (again)
-    ev_idle_start (d->loop, &d->flush_pending);
+    ev_idle_start (d->loop, &d->flush_idle);
   else
-    ev_idle_stop (d->loop, &d->flush_pending);
+    ev_idle_stop (d->loop, &d->flush_idle);
 }
 
 /* Reports stored state to the peers once any group of this VM has taken part in an election.  */
@@ -456,7 +456,7 @@
   for (size_t i = 0; i < d->group_count; i++)
     if (group_is_leader (d->groups[i].group)
         && group_transfer_leadership (d->groups[i].group, 0, &st) < 0)
-      log_line (LOG_INFO, "group %llu: leadership transfer failed: %s",
+      log_line (LOG_INFO, "group %llu: cannot start the leadership transfer: %s",
                 (unsigned long long)d->groups[i].id, st.message);
 }
 
--- a/src/edge/daemon_http.c
+++ b/src/edge/daemon_http.c
@@ -56,9 +56,9 @@
   if (daemon_is_draining (d))
     return "draining";
   if (!d->groups_open)
-    return "not yet known whether the groups exist";
+    return "waiting to learn whether the groups exist";
   if (!d->registry_known)
-    return "the registry is catching up";
+    return "the registry is not known yet";
   for (size_t i = 0; i < d->group_count; i++)
     {
       group_stats (d->groups[i].group, &stats);
--- a/src/edge/daemon_internal.h
+++ b/src/edge/daemon_internal.h
@@ -71,7 +71,7 @@
   ev_timer tick;
   ev_timer drain_timer;
   ev_prepare flush;
-  ev_idle flush_pending; /* keeps the loop from blocking while a group needs a flush */
+  ev_idle flush_idle; /* no-op; keeps the loop from blocking while a group needs a flush */
   ev_signal on_term;
   ev_signal on_int;
   ev_signal on_dump;
@@ -83,19 +83,20 @@
 
 /* daemon_groups.c */
 int daemon_open_peers (struct daemon *d, struct status *st); /* Transport and bootstrap. */
-int daemon_bootstrap (struct daemon *d, struct status *st);  /* Opens the groups if possible. */
-void daemon_flush_groups (struct daemon *d);                 /* Disk writes and messages. */
-void daemon_tick_groups (struct daemon *d, int64_t now_ms);  /* Timers of groups and services. */
-void daemon_close_groups (struct daemon *d);                 /* Groups, then services. */
-void daemon_update_peers (struct daemon *d);                 /* Peer addresses. */
-bool daemon_leads_any_group (const struct daemon *d);        /* Leads any group. */
-bool daemon_is_draining (const struct daemon *d);            /* Drained by operators. */
-void daemon_transfer_leadership (struct daemon *d);          /* All groups led by this VM. */
+int daemon_bootstrap (struct daemon *d,
+                      struct status *st);    /* Opens the groups once known whether they exist. */
+void daemon_flush_groups (struct daemon *d); /* Disk writes and messages. */
+void daemon_tick_groups (struct daemon *d, int64_t now_ms); /* Timers of groups and services. */
+void daemon_close_groups (struct daemon *d);                /* Groups, then services. */
+void daemon_update_peers (struct daemon *d);                /* Peer addresses. */
+bool daemon_leads_any_group (const struct daemon *d);       /* Leads any group. */
+bool daemon_is_draining (const struct daemon *d);           /* Drained by operators. */
+void daemon_transfer_leadership (struct daemon *d);         /* All groups led by this VM. */
 
 /* daemon_requests.c */
 int daemon_open_requests (struct daemon *d, struct status *st); /* Opens the caller side. */
 void daemon_tick_requests (struct daemon *d, int64_t now_ms);   /* Runner table and digests. */
-void daemon_update_entries (struct daemon *d);                  /* After a member change. */
+void daemon_update_entries (struct daemon *d);                  /* Recounts the entry VMs. */
 void daemon_receive_runners (struct daemon *d, const struct peer_info *from,
                              const runner_digest *digest, struct peer_reply *reply);
 void daemon_peer_connected (struct daemon *d, const struct peer_info *peer);
--- a/src/edge/daemon_requests.c
+++ b/src/edge/daemon_requests.c
@@ -34,7 +34,7 @@
   return ((const struct daemon *)arg)->registry_known;
 }
 
-/* Counts the entry VMs; *RANK is the index of this VM among them.  */
+/* Counts the entry VMs, draining ones too; *RANK is the index of this VM among them.  */
 static unsigned
 count_entries (const struct daemon *d, unsigned *rank)
 {
--- a/src/edge/job_api.c
+++ b/src/edge/job_api.c
@@ -19,7 +19,7 @@
 {
   struct http_request *req;
   char data_centre[CELL_NAME_BYTES + 1]; /* of the cell */
-  unsigned pending_count;                /* cancellations: commands without an outcome */
+  unsigned pending_count;                /* cancel commands without an outcome; + 1 in cancel_ids */
   unsigned cancelled;
   struct status failure; /* the last failure */
 };
@@ -112,7 +112,7 @@
   uint64_t cell = data_centre ? cell_of_data_centre (api->registry, data_centre)
                               : home_cell (api->registry, spec->customer, spec->request_id);
   if (!*api->registry_known)
-    http_reply_error (req, STATUS_NO_QUORUM, "the lists are not known on this VM yet");
+    http_reply_error (req, STATUS_NO_QUORUM, "the lists are not known here yet");
   else if (cell == 0)
     {
       status_set (&st, data_centre ? STATUS_NOT_FOUND : STATUS_NO_QUORUM,
@@ -305,7 +305,7 @@
   return x < y ? -1 : x > y;
 }
 
-/* Cancels jobs, with one command per cell and up to CELL_MAX_CANCEL ids.  */
+/* Cancels jobs; each command has up to CELL_MAX_CANCEL ids of one cell.  */
 static void
 cancel_ids (struct job_api *api, struct http_request *req, uint64_t *ids, size_t count)
 {
--- a/src/edge/job_api.h
+++ b/src/edge/job_api.h
@@ -5,7 +5,7 @@
 
    A submission goes to the cell named by "data_centre", else to the home cell of its customer and
    request id, so that a retry through any VM finds the first submission.  Reads are answered from
-   this VM's replica of the cell, which may lag, or redirected to the cell's data centre.  */
+   this VM's replica of the cell, which may lag, or redirected to a VM of its data centre.  */
 
 #ifndef SASSAFRAS_JOB_API_H
 #define SASSAFRAS_JOB_API_H
--- a/src/edge/operator_api.c
+++ b/src/edge/operator_api.c
@@ -10,8 +10,9 @@
 
 #define BEARER "Bearer "
 
-static struct counter unauthorized_total = { .name = "sassafras_operator_unauthorized_total",
-                                             .help = "Operator requests without a valid token." };
+static struct counter unauthorized_total
+    = { .name = "sassafras_operator_unauthorized_total",
+        .help = "Requests of operators without the right token." };
 
 struct route
 {
--- a/src/edge/operator_api.h
+++ b/src/edge/operator_api.h
@@ -30,7 +30,7 @@
 
 struct proposer_ops
 {
-  /* Commits COMMAND in GROUP through its leader, on any VM.  The leader sets the time.
+  /* Commits COMMAND through the leader of GROUP, whichever VM that is; the leader sets the time.
      STATUS_NOT_LEADER and STATUS_NO_QUORUM: definitely not accepted.  STATUS_OUTCOME_UNKNOWN: retry
      with the same request id.  */
   void (*propose) (struct proposer *p, uint64_t group, const void *command, size_t len,
@@ -63,7 +63,7 @@
 bool operator_api_handle (struct operator_api *api,
                           struct http_request *req); /* False for other endpoints. */
 bool operator_api_authorized (const struct operator_api *api,
-                              struct http_request *req);     /* Answers 401 when false. */
+                              struct http_request *req);     /* When false, has answered 401. */
 json_t *operator_api_state (const struct operator_api *api); /* Body of GET /v1/state. */
 
 #endif
--- a/src/edge/operator_api_internal.h
+++ b/src/edge/operator_api_internal.h
@@ -25,7 +25,7 @@
   LIST_HEAD (pending_list, pending_command) pending;
 };
 
-/* Adds the fields of one kind of command to the answer after its commit.  */
+/* Adds the fields of a committed command to the answer; RESULT may be a refusal.  */
 typedef void render_fn (struct operator_api *api, const registry_result *result,
                         const char *subject, json_t *answer);
 
@@ -56,7 +56,7 @@
 int api_body_open (struct api_body *b, struct http_request *req,
                    const char *const *fields); /* Reads the body and request_id; see _finish. */
 bool api_body_finish (struct api_body *b, struct http_request *req,
-                      enum status_kind kind); /* Answers KIND with the faults; true if none. */
+                      enum status_kind kind); /* False after answering KIND with the faults. */
 void api_body_close (struct api_body *b);     /* Frees it. */
 void api_propose (struct operator_api *api, struct http_request *req, registry_command *command,
                   render_fn *render, const char *subject); /* Proposes; answers later. */
--- a/src/edge/operator_api_topology.c
+++ b/src/edge/operator_api_topology.c
@@ -75,8 +75,8 @@
     json_object_set_new (answer, "state", json_string ("in"));
 }
 
-/* Adds the time at which the command is in force, or null, and the latest time for it: 3 s after
-   acceptance if the registry keeps its leader.  This VM may not have applied the command yet.  */
+/* Adds in_force_at_ms, null until known, and in_force_by_ms, PERMIT_LIFE_MS (3 s) after acceptance,
+   if the registry keeps its leader.  This VM may not have applied the command yet.  */
 static void
 render_out (struct operator_api *api, const registry_result *result, const char *subject,
             json_t *answer)
@@ -210,8 +210,7 @@
   registry_member member = { 0 };
   if (api_body_open (&b, req, fields) == 0 && read_member (&b, &member) && replace
       && strcmp (member.vm, subject) != 0)
-    json_check_fault_at (&b.check, "member", "names VM '%s', but the path names '%s'", member.vm,
-                         subject);
+    json_check_fault_at (&b.check, "member", "is VM '%s', the path names '%s'", member.vm, subject);
   if (api_body_finish (&b, req, STATUS_BAD_REQUEST))
     {
       registry_command command = { .request_id = b.request_id };
--- a/src/edge/proposal_router.c
+++ b/src/edge/proposal_router.c
@@ -128,7 +128,7 @@
 
 /* Next voter of a group to try if its leader is not known; 0 if there is none.  */
 static uint64_t
-next_candidate (struct proposal *p)
+next_voter (struct proposal *p)
 {
   const registry_member *all;
   size_t n = registry_members (p->router->config.registry, &all);
@@ -152,7 +152,7 @@
   uint64_t leader = local ? group_leader_node (local->group) : 0;
   if (leader && leader != p->router->config.node)
     return leader;
-  return local ? 0 : next_candidate (p);
+  return local ? 0 : next_voter (p);
 }
 
 static void
--- a/src/edge/proposal_router.h
+++ b/src/edge/proposal_router.h
@@ -1,13 +1,13 @@
-/* proposal_router: routes a proposal to the leader of its group, on any VM.
+/* proposal_router: routes a proposal to the leader of its group, whichever VM that is.
 
    Implements struct proposer.  A group led by this VM gets the command directly; otherwise the
    command goes to the leader known to the group, to the leader named by a refusal, or to the voters
    of the group in turn.  A refused command is sent again until PROPOSAL_TIMEOUT_MS has passed and
    then fails with STATUS_NO_QUORUM: definitely not accepted.  An attempt with an unknown outcome
-   fails at once with STATUS_OUTCOME_UNKNOWN, because another could apply the command twice.
+   fails at once with STATUS_OUTCOME_UNKNOWN, because a retry could apply the command twice.
 
-   The leader prepares each command before it proposes it: it sets its time and may refuse the
-   command, for example a job that can never run.  */
+   Before the leader proposes a command, its prepare function sets the leader's time in the command
+   and may refuse it, for example a job that can never run.  */
 
 #ifndef SASSAFRAS_PROPOSAL_ROUTER_H
 #define SASSAFRAS_PROPOSAL_ROUTER_H
--- a/src/edge/worker_api.c
+++ b/src/edge/worker_api.c
@@ -172,7 +172,7 @@
   /* A leader that has not applied its own log yet must not redirect to itself.  */
   if (!m || cell_service_elected (cell))
     {
-      http_reply_error (req, STATUS_NO_QUORUM, "the cell has no ready leader yet");
+      http_reply_error (req, STATUS_NO_QUORUM, "the cell has no leader that is ready yet");
       return;
     }
   snprintf (url, sizeof url, "http://%s%s?data_centre=%s", m->backend, req->path,
