--- a/ctl/client.c
+++ b/ctl/client.c
@@ -134,7 +134,7 @@
   snprintf (last, sizeof last, "%.120s", reply->status.message);
   if (changes && reply->maybe_sent)
     status_set (&reply->status, STATUS_OUTCOME_UNKNOWN,
-                "no answer in %ld ms (%s); retry with --request-id %s", c->timeout_ms, last,
+                "no answer in %ld ms (%s); repeat with --request-id %s", c->timeout_ms, last,
                 c->request_id);
   else if (changes)
     status_set (&reply->status, STATUS_NO_QUORUM, "not accepted in %ld ms: %s", c->timeout_ms,
--- a/ctl/jobs.c
+++ b/ctl/jobs.c
@@ -82,7 +82,7 @@
 {
   char path[PATH_BYTES];
   if (!json_name_valid (id))
-    return ctl_usage_error (c, "'%s' is not a job id", id);
+    return ctl_usage_error (c, "'%s' is no job id", id);
   snprintf (path, sizeof path, "/v1/jobs/%s", id);
   return ctl_call_and_print (c, "GET", path, NULL, NULL);
 }
@@ -126,7 +126,7 @@
       errno = 0;
       long long id = strtoll (c->args[i], &end, 10);
       if (*end || end == c->args[i] || id < 1 || errno != 0)
-        code = ctl_usage_error (c, "'%s' is not a job id", c->args[i]);
+        code = ctl_usage_error (c, "'%s' is no job id", c->args[i]);
       json_array_append_new (ids, json_integer (id));
     }
   json_t *body = json_pack ("{s:o}", "jobs", ids);
--- a/ctl/lists.c
+++ b/ctl/lists.c
@@ -151,7 +151,7 @@
       json_t *out = json_pack ("{s:I, s:O}", "version", (json_int_t)ctl_int (reply.body, "version"),
                                "changes", changes);
       if (!accepted)
-        code = ctl_usage_error (c, "cannot parse the accepted lists; sassafrasctl may be too old");
+        code = ctl_usage_error (c, "this program cannot read the accepted lists; is it too old?");
       else if (c->json)
         ctl_print_json (out);
       else
--- a/ctl/main.c
+++ b/ctl/main.c
@@ -175,7 +175,7 @@
       return 0;
     }
   if (getrandom (bytes, sizeof bytes, 0) != (ssize_t)sizeof bytes)
-    return ctl_usage_error (c, "cannot generate a request id; use --request-id");
+    return ctl_usage_error (c, "no random bytes for a request id; use --request-id");
   for (size_t i = 0; i < sizeof bytes; i++)
     snprintf (c->request_id + 2 * i, 3, "%02x", bytes[i]);
   return 0;
@@ -204,9 +204,9 @@
   c->customer = f->customer->count > 0 ? f->customer->sval[0] : NULL;
   c->data_centre = f->data_centre->count > 0 ? f->data_centre->sval[0] : NULL;
   if (c->customer && !json_name_valid (c->customer))
-    return ctl_usage_error (c, "--customer: '%s' is invalid", c->customer);
+    return ctl_usage_error (c, "--customer: '%s' is no name", c->customer);
   if (c->data_centre && !json_name_valid (c->data_centre))
-    return ctl_usage_error (c, "--data-centre: '%s' is invalid", c->data_centre);
+    return ctl_usage_error (c, "--data-centre: '%s' is no name", c->data_centre);
   c->limit = DEFAULT_LIMIT;
   if (f->limit->count > 0 && read_number (f->limit->sval[0], 1, MAX_LIMIT, &c->limit) < 0)
     return ctl_usage_error (c, "--limit: '%s' is out of range, allowed: 1 to %d", f->limit->sval[0],
@@ -269,7 +269,7 @@
       return status_answer (STATUS_BAD_REQUEST)->exit_code;
     }
   if (f->args->count == 0)
-    return ctl_usage_error (c, "no command given; see --help");
+    return ctl_usage_error (c, "no command; see --help");
   int code = read_flags (c, f);
   return code == 0 ? run_command (c) : code;
 }
--- a/ctl/topology.c
+++ b/ctl/topology.c
@@ -16,8 +16,7 @@
 {
   if (json_name_valid (name))
     return true;
-  *code = ctl_usage_error (c, "'%s' is not a valid name: 1 to 63 letters, digits, '.', '_' or '-'",
-                           name);
+  *code = ctl_usage_error (c, "'%s' is no name: 1 to 63 letters, digits, '.', '_' or '-'", name);
   return false;
 }
 
@@ -59,7 +58,7 @@
   int64_t version = ctl_int (reply->body, "version");
   json_t *accepted = json_incref (json_object_get (reply->body, "accepted_at_ms"));
   int code = 0;
-  ctl_progress (c, "accepted at %s, in force within about 3 s of that time; waiting",
+  ctl_progress (c, "accepted at %s, in force at the latest at about 3 s after that; waiting",
                 ctl_format_time (json_integer_value (accepted), when));
   snprintf (path, sizeof path, "/v1/data-centres/%s", name);
   while (!is_out_in_force (reply->body, version) && ctl_time_left (c))
@@ -85,13 +84,14 @@
   else if (ctl_int (reply->body, "version") > version)
     {
       status_set (&st, STATUS_VERSION_CONFLICT,
-                  "accepted, but data centre '%s' was changed again since (version %" PRId64 ")",
+                  "accepted, but data centre '%s' was changed again meanwhile (version %" PRId64
+                  ")",
                   name, ctl_int (reply->body, "version"));
       code = ctl_fail (c, &st, NULL);
     }
   else
     {
-      status_set (&st, STATUS_TIMEOUT, "accepted, but not confirmed in force after %ld ms",
+      status_set (&st, STATUS_TIMEOUT, "accepted, but not known to be in force after %ld ms",
                   c->timeout_ms);
       code = ctl_fail (c, &st, NULL);
     }
@@ -149,7 +149,7 @@
     {
       size_t applied = count_applied (c, index, &reached, &total);
       if (applied != last)
-        ctl_progress (c, "accepted; applied on %zu of %zu VMs, %zu do not answer", applied, total,
+        ctl_progress (c, "accepted; known on %zu of %zu VMs, %zu do not answer", applied, total,
                       total - reached);
       last = applied;
       if (applied == reached && reached > 0)
@@ -158,12 +158,12 @@
         ctl_sleep (c, CTL_POLL_INTERVAL_MS);
     }
   while (ctl_time_left (c));
-  status_set (&st, STATUS_TIMEOUT, "accepted, but after %ld ms applied on %zu of %zu VMs",
+  status_set (&st, STATUS_TIMEOUT, "accepted, but after %ld ms known on %zu of %zu VMs",
               c->timeout_ms, last, total);
   return ctl_fail (c, &st, NULL);
 }
 
-/* Sends a change, waits until it is applied on all VMs and prints the answer.  */
+/* Sends a change and prints the answer, if c->wait after all VMs that answer have applied it.  */
 static int
 finish_change (struct ctl *c, const char *path, const json_t *body)
 {
