--- a/tests/test_worker_calls.c
+++ b/tests/test_worker_calls.c
@@ -1,4 +1,4 @@
-/* Calls of workers over HTTP.  Guards against leaks of calls that are pending when a process ends
+/* HTTP calls to workers.  Guards against leaks of calls that are pending when a process ends
    (soak, seeds 317 and 345; found by the leak check of the sanitized run), and against an outcome
    without the caller's tag.  */
 
