--- a/standins/runner.c
+++ b/standins/runner.c
@@ -74,7 +74,7 @@
   unsigned long executed;
   unsigned open_connections;
   bool departing;
-  bool drained;
+  bool drain_time_over;
   SLIST_HEAD (, executions) executions;
   TAILQ_HEAD (, conn) queue;
   LIST_HEAD (, conn) conns;
@@ -112,7 +112,7 @@
 static void
 check_exit (struct runner_standin *s)
 {
-  if (s->departing && s->drained && s->busy_connections == 0)
+  if (s->departing && s->drain_time_over && s->busy_connections == 0)
     ev_break (s->loop, EVBREAK_ALL);
 }
 
@@ -215,7 +215,7 @@
 }
 
 static struct executions *
-get_executions (struct runner_standin *s, const char *key)
+find_or_add_executions (struct runner_standin *s, const char *key)
 {
   struct executions *e;
   SLIST_FOREACH (e, &s->executions, link)
@@ -236,7 +236,7 @@
   if (!value)
     return;
   copy_value (value, "\r", key, sizeof key);
-  get_executions (c->s, key)->count++;
+  find_or_add_executions (c->s, key)->count++;
 }
 
 static void
@@ -396,7 +396,7 @@
   char text[128];
   query_parameter (c->head, "key", key, sizeof key);
   if (strstr (c->head, "/standin/executions"))
-    snprintf (text, sizeof text, "%u", get_executions (c->s, key)->count);
+    snprintf (text, sizeof text, "%u", find_or_add_executions (c->s, key)->count);
   else
     snprintf (text, sizeof text, "{\"executed\":%lu,\"open\":%u,\"in_service\":%u}", c->s->executed,
               c->s->open_connections, c->s->in_service);
@@ -617,7 +617,7 @@
 on_departed (void *arg, const struct http_answer *a)
 {
   struct runner_standin *s = arg;
-  if (a->code == 200 || s->drained)
+  if (a->code == 200 || s->drain_time_over)
     return;
   s->entry = (s->entry + 1) % s->entry_count;
   depart (s);
@@ -632,12 +632,12 @@
 }
 
 static void
-on_drained (struct ev_loop *loop, ev_timer *w, int events)
+on_drain_timer (struct ev_loop *loop, ev_timer *w, int events)
 {
   struct runner_standin *s = w->data;
   (void)loop;
   (void)events;
-  s->drained = true;
+  s->drain_time_over = true;
   check_exit (s);
 }
 
@@ -687,7 +687,7 @@
 {
   ev_io_init (&s->accept_watch, on_accept, s->listener, EV_READ);
   ev_timer_init (&s->announce_timer, on_announce_timer, 0.0, ANNOUNCE_S);
-  ev_timer_init (&s->drain_timer, on_drained, 0.0, 0.0);
+  ev_timer_init (&s->drain_timer, on_drain_timer, 0.0, 0.0);
   ev_signal_init (&s->term_watch, on_term, SIGTERM);
   s->accept_watch.data = s;
   s->announce_timer.data = s;
@@ -754,7 +754,8 @@
   struct arg_int *slots = arg_int0 (NULL, "slots", "N", "parallel requests (default 8)");
   struct arg_int *connections = arg_int0 (NULL, "connections", "N", "default 64");
   struct arg_dbl *ms = arg_dbl0 (NULL, "service-ms", "MS", "service time (default 0)");
-  struct arg_dbl *errors = arg_dbl0 (NULL, "error-rate", "P", "share of 500 answers (default 0)");
+  struct arg_dbl *errors
+      = arg_dbl0 (NULL, "error-rate", "P", "fraction of answers with status 500 (default 0)");
   struct arg_end *end = arg_end (8);
   void *table[]
       = { id, service, centre, address, entries, mode, slots, connections, ms, errors, end };
--- a/standins/worker.c
+++ b/standins/worker.c
@@ -43,7 +43,7 @@
   char report[16];      /* "running", "done", "failed", "stopped", "refused" */
   int64_t progress_ms;  /* work done at the last start or change of speed */
   int64_t started_ms;   /* when this run began or its speed changed */
-  int64_t run_time_ms;  /* total work of the task; a negative one runs until stopped */
+  int64_t run_time_ms;  /* total work of the task; negative: runs until stopped */
   int throttle_percent; /* share of full speed */
   int millicores;
   int memory_mb;
@@ -61,7 +61,7 @@
   int millicores;
   int memory_mb;
   int accelerators;
-  double fail_share;  /* fraction of tasks that fail right after the start */
+  double fail_share;  /* fraction of tasks that fail at start, without running */
   double time_factor; /* actual run time / declared run time */
   FILE *events;
   char *entries[MAX_ENTRIES];
@@ -72,11 +72,11 @@
   int64_t incarnation;
   int64_t sequence;
   bool announced;
-  bool polling;   /* a long poll is open */
-  bool reporting; /* an immediate report is open */
+  bool polling;   /* a long poll or an announcement is pending */
+  bool reporting; /* a short poll is pending */
   bool report_due;
   int64_t lease_until_ms;
-  int64_t covered_until_ms; /* for tasks with a standby copy */
+  int64_t covered_until_ms; /* end of the shorter lease, for tasks with a standby copy */
   unsigned random_state;
   ev_timer tick;
   ev_timer retry;
@@ -84,7 +84,7 @@
   LIST_HEAD (task_list, task) tasks;
 };
 
-/* One poll in flight.  */
+/* A pending poll or announcement.  */
 struct poll
 {
   struct worker *worker;
@@ -142,13 +142,13 @@
 }
 
 static void
-drop_tasks (struct worker *w, const char *why)
+drop_tasks (struct worker *w, const char *event)
 {
   struct task *t;
   while ((t = LIST_FIRST (&w->tasks)))
     {
       if (t->state == TASK_RUNNING)
-        write_event (w, why, t);
+        write_event (w, event, t);
       LIST_REMOVE (t, link);
       free (t);
     }
