--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -32,6 +32,6 @@
 void manual_clock_init (struct manual_clock *c, int64_t start); /* Starts at START ms. */
 void manual_clock_advance (struct manual_clock *c, int64_t ms); /* Advances by MS. */
 int64_t clock_now_ms (struct clock *c);                         /* Reads C; never cached. */
-int64_t clock_wall_ms (void); /* Unix time, for logs and reports only. */
+int64_t clock_wall_ms (void); /* Unix time in ms; may step back: no leases or timeouts. */
 
 #endif
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -87,7 +87,7 @@
   unsigned lines;    /* number of lines in BYTES */
   time_t second;     /* start of the one-second window */
   unsigned accepted; /* lines accepted in that second */
-  uint64_t left_out; /* lines dropped and not yet reported */
+  uint64_t dropped;  /* lines dropped and not yet reported */
   bool nonblocking;  /* O_NONBLOCK was set on standard output */
 } events;
 
@@ -108,7 +108,7 @@
     }
   if (events.accepted >= max_lines (level) || events.len + LINE_BYTES + 128 > sizeof events.bytes)
     {
-      events.left_out++;
+      events.dropped++;
       return false;
     }
   events.accepted++;
@@ -150,15 +150,15 @@
     fcntl (STDOUT_FILENO, F_SETFL, flags | O_NONBLOCK);
 }
 
-/* Reports the lines dropped since the last report; called when a write has emptied the buffer.  */
+/* Reports the lines dropped since the last report; called when log_flush has emptied the buffer. */
 static void
-report_left_out (void)
+report_dropped (void)
 {
   char text[64];
-  if (events.left_out == 0)
+  if (events.dropped == 0)
     return;
-  snprintf (text, sizeof text, "count=%llu", (unsigned long long)events.left_out);
-  events.left_out = 0;
+  snprintf (text, sizeof text, "count=%llu", (unsigned long long)events.dropped);
+  events.dropped = 0;
   add_event (LOG_WARN, "lines-left-out", text);
 }
 
@@ -171,8 +171,8 @@
     set_nonblocking ();
   ssize_t n = write (STDOUT_FILENO, events.bytes, events.len);
   if (n < (ssize_t)events.len && !(n < 0 && errno == EINTR))
-    events.left_out += events.lines;
+    events.dropped += events.lines;
   events.len = 0;
   events.lines = 0;
-  report_left_out ();
+  report_dropped ();
 }
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -33,7 +33,7 @@
   char data_centre[64]; /* data centre of this VM, may be empty */
 };
 
-void log_configure (const struct log_config *config); /* Sets level and format. */
+void log_configure (const struct log_config *config); /* Sets level, format, VM and data centre. */
 int log_level_from_name (const char *name,
                          enum log_level *out); /* "error".."debug"; -1 when unknown. */
 void log_line (enum log_level level, const char *format, ...)
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -68,7 +68,7 @@
 };
 
 static struct arg_lit *
-flag_literal (struct flags *f, int i)
+switch_arg (struct flags *f, int i)
 {
   return f->args[i];
 }
@@ -160,7 +160,7 @@
 read_and_check (struct settings *s, struct flags *f, int errors, struct buffer *out)
 {
   struct setting_faults faults = { out, 0 };
-  bool check = flag_literal (f, ARG_CHECK)->count > 0;
+  bool check = switch_arg (f, ARG_CHECK)->count > 0;
   if (errors > 0)
     write_flag_errors (f, &faults);
   read_table (s, f, &faults);
@@ -183,9 +183,9 @@
   s->log.level = LOG_INFO;
   make_flags (&flags);
   int errors = arg_parse (argc, argv, flags.args);
-  if (flag_literal (&flags, ARG_HELP)->count > 0)
+  if (switch_arg (&flags, ARG_HELP)->count > 0)
     write_help (&flags, out);
-  else if (flag_literal (&flags, ARG_VERSION)->count > 0)
+  else if (switch_arg (&flags, ARG_VERSION)->count > 0)
     buffer_printf (out, "sassafrasd %s\n", SASSAFRAS_VERSION);
   else
     action = read_and_check (s, &flags, errors, out);
--- a/src/base/settings_check.c
+++ b/src/base/settings_check.c
@@ -221,7 +221,7 @@
 }
 
 static void
-check_folder (const struct settings *s, struct setting_faults *faults)
+check_data_dir (const struct settings *s, struct setting_faults *faults)
 {
   struct stat info;
   if (!s->data_dir[0])
@@ -302,7 +302,7 @@
 {
   read_members (s, faults);
   check_self (s, faults);
-  check_folder (s, faults);
+  check_data_dir (s, faults);
   read_token (s, faults);
   if (lists)
     check_lists (s, faults);
--- a/tests/test_incarnation.c
+++ b/tests/test_incarnation.c
@@ -15,7 +15,7 @@
 #define FUTURE_MS 4102444800000 /* a wall clock in the year 2100 */
 
 static void
-test_incarnation_grows_when_the_clock_steps_back (void **state)
+test_incarnation_increases_when_the_clock_steps_back (void **state)
 {
   uint64_t incarnation;
   struct status st;
@@ -44,6 +44,6 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (test_incarnation_grows_when_the_clock_steps_back) };
+      = { cmocka_unit_test (test_incarnation_increases_when_the_clock_steps_back) };
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
