--- a/src/gen/peer_proto.x
+++ b/src/gen/peer_proto.x
@@ -79,7 +79,7 @@
   bool granted;             /* replies: vote granted, append accepted, chunk stored */
   unsigned hyper round;     /* read-index and check-quorum round, echoed in replies */
   unsigned int stream;      /* appends: incremented per handled rejection; echoed in replies */
-  unsigned hyper store;     /* vote requests: expected store; replies: the sender's store */
+  unsigned hyper store;     /* vote requests: store the candidate expects; replies: the sender's */
   raft_entry entries<PEER_MAX_ENTRIES>;
   unsigned hyper chunk_offset;
   unsigned hyper chunk_total;
@@ -158,7 +158,7 @@
   unsigned hyper table_version;
   bool full;                /* runners is the complete table at this version */
   unsigned hyper base_version;
-  unsigned hyper echo;      /* asked of the receiver's last reply, 0 if none; start of lifetimes */
+  unsigned hyper echo;      /* `asked` of the receiver's last reply, or 0; leases count from it */
   runner_entry runners<PEER_MAX_RUNNERS>;
   customer_usage usage<PEER_MAX_CUSTOMERS>;
 };
--- a/src/net/http_server.c
+++ b/src/net/http_server.c
@@ -300,7 +300,7 @@
 }
 
 static void
-answer (struct http_request *req, int code, struct MHD_Response *response)
+send_reply (struct http_request *req, int code, struct MHD_Response *response)
 {
   req->response = response;
   req->response_code = code;
@@ -320,7 +320,7 @@
   http_add_header (r, "Content-Type", type);
   if (retry_after_s)
     http_add_header (r, "Retry-After", retry_after_s);
-  answer (req, code, r);
+  send_reply (req, code, r);
 }
 
 void
@@ -362,7 +362,7 @@
   http_add_header (r, "Content-Type", "application/json");
   if (a->may_retry)
     http_add_header (r, "Retry-After", RETRY_AFTER_S);
-  answer (req, a->http_code, r);
+  send_reply (req, a->http_code, r);
 }
 
 void
@@ -381,5 +381,5 @@
 {
   struct MHD_Response *r = MHD_create_response_from_buffer (0, "", MHD_RESPMEM_PERSISTENT);
   http_add_header (r, "Location", location);
-  answer (req, MHD_HTTP_TEMPORARY_REDIRECT, r);
+  send_reply (req, MHD_HTTP_TEMPORARY_REDIRECT, r);
 }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -57,7 +57,7 @@
                                       struct status *st); /* NULL and ST on failure. */
 void http_server_close (struct http_server *server); /* Closes all connections; frees SERVER. */
 unsigned
-http_server_open_requests (const struct http_server *server); /* Requests without an answer. */
+http_server_open_requests (const struct http_server *server); /* Requests not yet completed. */
 int http_server_port (const struct http_server *server);      /* Listening port. */
 
 const char *http_header (struct http_request *req, const char *name); /* Header value or NULL. */
@@ -75,7 +75,7 @@
 void http_reply_status (struct http_request *req,
                         const struct status *st); /* HTTP status from status_answer. */
 void http_reply_error (struct http_request *req, enum status_kind kind, const char *format, ...)
-    __attribute__ ((format (printf, 3, 4))); /* http_reply_status with a message. */
+    __attribute__ ((format (printf, 3, 4))); /* http_reply_status, KIND and formatted message. */
 void http_reply_redirect (struct http_request *req, const char *location); /* Answers 307. */
 json_t *http_status_json (const struct status *st); /* {"error","message","ran"}. */
 int http_parse_address (const char *text, struct sockaddr_in *out,
--- a/src/net/peer_codec.c
+++ b/src/net/peer_codec.c
@@ -39,14 +39,14 @@
 #define PROC_COUNT (sizeof procs / sizeof procs[0])
 
 /* Each denial maps to its own standard auth_stat, so that any ONC RPC tool can display it.  */
-static const enum auth_stat denial_codes[PEER_DENIALS] = {
+static const enum auth_stat denial_codes[PEER_DENIAL_COUNT] = {
   [PEER_DENIED_DEPLOYMENT] = AUTH_BADCRED,
   [PEER_DENIED_UNKNOWN_PEER] = AUTH_BADVERF,
   [PEER_DENIED_INCARNATION] = AUTH_REJECTEDCRED,
   [PEER_DENIED_NO_HELLO] = AUTH_TOOWEAK,
 };
 
-static const char *const denial_names[PEER_DENIALS] = {
+static const char *const denial_names[PEER_DENIAL_COUNT] = {
   [PEER_DENIED_DEPLOYMENT] = "another deployment",
   [PEER_DENIED_UNKNOWN_PEER] = "not in the list of peers",
   [PEER_DENIED_INCARNATION] = "earlier incarnation",
@@ -226,7 +226,7 @@
   out->denial = PEER_DENIED_UNKNOWN_PEER;
   if (message->rjcted_rply.rj_stat != AUTH_ERROR)
     return;
-  for (int i = 0; i < PEER_DENIALS; i++)
+  for (int i = 0; i < PEER_DENIAL_COUNT; i++)
     if (denial_codes[i] == message->rjcted_rply.rj_why)
       out->denial = (enum peer_denial)i;
 }
--- a/src/net/peer_codec.h
+++ b/src/net/peer_codec.h
@@ -49,7 +49,8 @@
   PEER_DENIED_UNKNOWN_PEER, /* not in the list of peers */
   PEER_DENIED_INCARNATION,  /* an earlier incarnation */
   PEER_DENIED_NO_HELLO,     /* a call before the hello */
-  PEER_DENIALS
+  PEER_DENIAL_COUNT,
+  PEER_NOT_DENIED = PEER_DENIAL_COUNT
 };
 
 /* Decoded header of a message.  */
@@ -91,7 +92,7 @@
 void peer_record_free (struct peer_record *record); /* Frees joined fragments. */
 int peer_decode_header (const char *data, size_t len,
                         struct peer_header *out); /* -1: not an RPC message. */
-/* Decodes the arguments or the result of PROC; -1 when malformed, OUT is then not allocated.  */
+/* Decodes the arguments or the result of PROC; -1 when malformed; OUT then needs no freeing.  */
 int peer_decode_args (uint32_t proc, const char *data, size_t len, union peer_body *out);
 int peer_decode_result (uint32_t proc, const char *data, size_t len, union peer_body *out);
 void peer_free_args (uint32_t proc, union peer_body *args);     /* Frees decoded arguments. */
--- a/src/net/peer_net.c
+++ b/src/net/peer_net.c
@@ -102,9 +102,9 @@
       if (net->config.handlers.lost)
         net->config.handlers.lost (net->config.handler_arg, &info);
     }
-  while ((call = TAILQ_FIRST (&net->ended)))
+  while ((call = TAILQ_FIRST (&net->ended_calls)))
     {
-      TAILQ_REMOVE (&net->ended, call, link);
+      TAILQ_REMOVE (&net->ended_calls, call, link);
       calls_complete (call);
     }
 }
@@ -119,7 +119,7 @@
 }
 
 static void
-free_closed (struct peer_net *net)
+free_deferred (struct peer_net *net)
 {
   struct conn *c;
   struct peer *p;
@@ -139,7 +139,7 @@
   (void)loop;
   (void)events;
   peer_run_callbacks (net);
-  free_closed (net);
+  free_deferred (net);
 }
 
 static void
@@ -178,7 +178,7 @@
   if (c->peer)
     c->peer->stats.silent_closes++;
   counter_add (&peer_silent_closes, 1);
-  conn_close (c, "silent");
+  conn_close (c, "silent"); /* becomes part of call statuses */
 }
 
 static void
@@ -289,7 +289,7 @@
   net->last_tick_ms = clock_now_ms (net->clock);
   TAILQ_INIT (&net->peers);
   TAILQ_INIT (&net->removed);
-  TAILQ_INIT (&net->ended);
+  TAILQ_INIT (&net->ended_calls);
   LIST_INIT (&net->conns);
   LIST_INIT (&net->closed_conns);
   STAILQ_INIT (&net->dirty);
@@ -342,12 +342,12 @@
     return;
   while ((c = LIST_FIRST (&net->conns)))
     conn_close (c, "shutting down");
-  while ((call = TAILQ_FIRST (&net->ended)))
+  while ((call = TAILQ_FIRST (&net->ended_calls)))
     {
-      TAILQ_REMOVE (&net->ended, call, link);
+      TAILQ_REMOVE (&net->ended_calls, call, link);
       calls_free (call);
     }
-  free_closed (net);
+  free_deferred (net);
   ev_io_stop (net->loop, &net->accept_io);
   ev_timer_stop (net->loop, &net->timer);
   ev_clear_pending (net->loop, &net->flush);
@@ -370,7 +370,7 @@
 }
 
 static void
-close_conns (struct peer *p, const char *reason)
+close_peer_conns (struct peer *p, const char *reason)
 {
   if (p->out)
     conn_close (p->out, reason);
@@ -426,7 +426,7 @@
   struct peer *p = peer_find_name (net, name);
   if (!p)
     return;
-  close_conns (p, "removed from the list of peers");
+  close_peer_conns (p, "removed from the list of peers");
   TAILQ_REMOVE (&net->peers, p, link);
   TAILQ_INSERT_TAIL (&net->removed, p, link);
   net->peer_count--;
--- a/src/net/peer_net.h
+++ b/src/net/peer_net.h
@@ -63,7 +63,7 @@
   uint64_t received_bytes;
   uint64_t dropped_raft;   /* raft messages dropped: queue full or no connection */
   uint64_t failed_calls;   /* calls that ended without a reply */
-  uint64_t refused_hellos; /* hellos under this VM's name that were refused */
+  uint64_t refused_hellos; /* hellos and hello replies refused, of the peer or of this VM */
   uint64_t connects;       /* connections whose hello the peer accepted */
   uint64_t silent_closes;  /* connections closed by the receive timeout */
 };
@@ -135,11 +135,11 @@
                        struct peer_info *out); /* The I-th peer; strings valid until it changes. */
 bool peer_net_peer (const struct peer_net *net, uint64_t node,
                     struct peer_info *out);              /* The peer with this node. */
-uint64_t peer_net_refusals (const struct peer_net *net); /* Hellos refused from any sender. */
+uint64_t peer_net_refusals (const struct peer_net *net); /* Handshakes refused, either way. */
 
 void peer_send_raft (struct peer_net *net, const raft_message *message); /* To MESSAGE->to. */
 bool peer_send_orders (struct peer_net *net, uint64_t node,
-                       const peer_orders *orders); /* False: not sent. */
+                       const peer_orders *orders); /* False: definitely not sent. */
 void peer_call_propose (struct peer_net *net, uint64_t node, const propose_args *args,
                         int64_t timeout_ms, peer_propose_done *done,
                         void *arg); /* Proposes a command. */
@@ -150,10 +150,9 @@
                         int64_t timeout_ms, peer_runners_done *done,
                         void *arg); /* Sends the runner table. */
 
-void peer_reply_propose (struct peer_reply *reply, const propose_reply *result); /* Answers. */
-void peer_reply_permit (struct peer_reply *reply, const permit_grant *grant);    /* Answers. */
-void peer_reply_runners (struct peer_reply *reply,
-                         const runner_digest_reply *result); /* Answers. */
-void peer_reply_refuse (struct peer_reply *reply);           /* Not executed; may be repeated. */
+void peer_reply_propose (struct peer_reply *reply, const propose_reply *result);
+void peer_reply_permit (struct peer_reply *reply, const permit_grant *grant);
+void peer_reply_runners (struct peer_reply *reply, const runner_digest_reply *result);
+void peer_reply_refuse (struct peer_reply *reply); /* Not executed; may be repeated. */
 
 #endif
--- a/src/net/peer_net_calls.c
+++ b/src/net/peer_net_calls.c
@@ -22,7 +22,7 @@
       c->peer->stats.failed_calls++;
       counter_add (&peer_failed_calls, 1);
     }
-  TAILQ_INSERT_TAIL (&c->net->ended, call, link);
+  TAILQ_INSERT_TAIL (&c->net->ended_calls, call, link);
   peer_defer (c->net);
 }
 
@@ -89,7 +89,7 @@
   if (p)
     p->stats.failed_calls++;
   counter_add (&peer_failed_calls, 1);
-  TAILQ_INSERT_TAIL (&net->ended, call, link);
+  TAILQ_INSERT_TAIL (&net->ended_calls, call, link);
   peer_defer (net);
 }
 
@@ -131,7 +131,7 @@
       fail_immediately (net, p, call);
       return;
     }
-  call->record = TAILQ_LAST (&c->out, record_list);
+  call->record = TAILQ_LAST (&c->send_queue, record_list);
   TAILQ_INSERT_TAIL (&c->calls, call, link);
   c->open_calls++;
 }
@@ -218,7 +218,7 @@
   if (outcome == PEER_REFUSED || outcome == PEER_DENIED)
     status_set (&call->status, STATUS_OVERLOADED, "the peer refused %s", name);
   else
-    status_set (&call->status, STATUS_BAD_REQUEST, "the peer could not decode %s", name);
+    status_set (&call->status, STATUS_BAD_REQUEST, "the peer could not read %s", name);
 }
 
 static int
@@ -242,7 +242,7 @@
 }
 
 static int
-queue_answer (struct conn *c, char *bytes, size_t len)
+queue_reply (struct conn *c, char *bytes, size_t len)
 {
   if (conn_queue (c, RECORD_CONTROL, bytes, len, NULL) == 0)
     return 0;
@@ -251,11 +251,11 @@
 }
 
 static int
-answer_failure (struct conn *c, uint32_t xid, enum peer_outcome outcome)
+reply_failure (struct conn *c, uint32_t xid, enum peer_outcome outcome)
 {
   size_t len;
   char *bytes = peer_encode_failure (xid, outcome, PEER_DENIED_NO_HELLO, &len);
-  return queue_answer (c, bytes, len);
+  return queue_reply (c, bytes, len);
 }
 
 static struct peer_reply *
@@ -285,7 +285,7 @@
 }
 
 static void
-answer (struct peer_reply *reply, uint32_t proc, const void *result)
+send_reply (struct peer_reply *reply, uint32_t proc, const void *result)
 {
   struct status st = { 0 };
   uint32_t xid = reply->xid;
@@ -298,7 +298,7 @@
       = matches ? peer_encode_result (xid, proc, result, PEER_MAX_RECORD_BYTES, &len, &st) : NULL;
   if (bytes)
     {
-      queue_answer (c, bytes, len);
+      queue_reply (c, bytes, len);
       return;
     }
   /* The call may have been executed, so it must not be answered as refused.  */
@@ -313,19 +313,19 @@
   propose_reply copy = *result;
   if (!copy.message)
     copy.message = empty_text;
-  answer (reply, PEER_PROPOSE, &copy);
+  send_reply (reply, PEER_PROPOSE, &copy);
 }
 
 void
 peer_reply_permit (struct peer_reply *reply, const permit_grant *grant)
 {
-  answer (reply, PEER_PERMIT, grant);
+  send_reply (reply, PEER_PERMIT, grant);
 }
 
 void
 peer_reply_runners (struct peer_reply *reply, const runner_digest_reply *result)
 {
-  answer (reply, PEER_RUNNERS, result);
+  send_reply (reply, PEER_RUNNERS, result);
 }
 
 void
@@ -334,7 +334,7 @@
   uint32_t xid = reply->xid;
   struct conn *c = release_reply (reply);
   if (c)
-    answer_failure (c, xid, PEER_REFUSED);
+    reply_failure (c, xid, PEER_REFUSED);
 }
 
 static void
@@ -381,7 +381,7 @@
   struct peer_info from;
   if (!has_handler (handlers, h->proc) || c->open_replies >= PEER_MAX_OPEN_CALLS)
     {
-      answer_failure (c, h->xid, PEER_REFUSED);
+      reply_failure (c, h->xid, PEER_REFUSED);
       return;
     }
   struct peer_reply *reply = open_reply (c, h);
@@ -399,7 +399,7 @@
 {
   size_t len;
   char *bytes = peer_encode_result (xid, PEER_NULL, NULL, PEER_MAX_RECORD_BYTES, &len, NULL);
-  return queue_answer (c, bytes, len);
+  return queue_reply (c, bytes, len);
 }
 
 static int
@@ -409,9 +409,9 @@
   if (!h->is_call)
     return -1;
   if (h->outcome != PEER_SUCCESS)
-    return answer_failure (c, h->xid, PEER_UNKNOWN_PROCEDURE);
+    return reply_failure (c, h->xid, PEER_UNKNOWN_PROCEDURE);
   if (peer_decode_args (h->proc, body, len, &args) < 0)
-    return is_one_way (h->proc) ? -1 : answer_failure (c, h->xid, PEER_GARBAGE_ARGS);
+    return is_one_way (h->proc) ? -1 : reply_failure (c, h->xid, PEER_GARBAGE_ARGS);
   if (h->proc == PEER_NULL)
     answer_null (c, h->xid);
   else if (h->proc == PEER_RAFT)
--- a/src/net/peer_net_conn.c
+++ b/src/net/peer_net_conn.c
@@ -10,10 +10,9 @@
 #include "peer_net_internal.h"
 
 #define WRITE_VECTORS 32
-#define UNSENT_LOW_WATER_BYTES                                                                     \
-  (128 * 1024)                       /* the rest stays in the queue, where it can be dropped */
-#define HELLO_MAX_BYTES 1024         /* largest record accepted before the hello */
-#define KEEP_INPUT_BYTES (64 * 1024) /* larger input buffers are freed when empty */
+#define UNSENT_LOW_WATER_BYTES (128 * 1024) /* TCP_NOTSENT_LOWAT; more stays droppable */
+#define HELLO_MAX_BYTES 1024                /* largest record accepted before the hello */
+#define KEEP_INPUT_BYTES (64 * 1024)        /* larger input buffers are freed when empty */
 
 static void on_io (struct ev_loop *loop, ev_io *w, int events);
 
@@ -49,7 +48,7 @@
   c->state = state;
   c->last_received_ms = clock_now_ms (net->clock);
   set_options (fd);
-  TAILQ_INIT (&c->out);
+  TAILQ_INIT (&c->send_queue);
   TAILQ_INIT (&c->calls);
   LIST_INIT (&c->replies);
   LIST_INSERT_HEAD (&net->conns, c, link);
@@ -65,9 +64,9 @@
 void
 conn_dequeue (struct conn *c, struct record *r)
 {
-  TAILQ_REMOVE (&c->out, r, link);
-  c->out_bytes -= r->len;
-  c->out_records--;
+  TAILQ_REMOVE (&c->send_queue, r, link);
+  c->queued_bytes -= r->len;
+  c->queued_records--;
   if (r->call)
     r->call->record = NULL;
   free (r->bytes);
@@ -125,19 +124,19 @@
 conn_free (struct conn *c)
 {
   struct record *r;
-  while ((r = TAILQ_FIRST (&c->out)))
+  while ((r = TAILQ_FIRST (&c->send_queue)))
     conn_dequeue (c, r);
   if (c->dirty)
     STAILQ_REMOVE (&c->net->dirty, c, conn, dirty_link);
   LIST_REMOVE (c, link);
-  buffer_close (&c->in);
+  buffer_close (&c->input);
   free (c);
 }
 
 static bool
 queue_full (const struct conn *c, size_t len)
 {
-  return c->out_bytes + len > PEER_QUEUE_BYTES || c->out_records >= PEER_QUEUE_RECORDS;
+  return c->queued_bytes + len > PEER_QUEUE_BYTES || c->queued_records >= PEER_QUEUE_RECORDS;
 }
 
 static void
@@ -151,7 +150,7 @@
 static void
 drop_oldest_raft (struct conn *c, size_t len)
 {
-  struct record *r = TAILQ_FIRST (&c->out);
+  struct record *r = TAILQ_FIRST (&c->send_queue);
   while (r && queue_full (c, len))
     {
       struct record *next = TAILQ_NEXT (r, link);
@@ -193,9 +192,9 @@
   r->bytes = bytes;
   r->len = len;
   r->call = call;
-  TAILQ_INSERT_TAIL (&c->out, r, link);
-  c->out_bytes += len;
-  c->out_records++;
+  TAILQ_INSERT_TAIL (&c->send_queue, r, link);
+  c->queued_bytes += len;
+  c->queued_records++;
   mark_dirty (c);
   return 0;
 }
@@ -218,7 +217,7 @@
   int messages = 0;
   while (left > 0)
     {
-      struct record *r = TAILQ_FIRST (&c->out);
+      struct record *r = TAILQ_FIRST (&c->send_queue);
       size_t part = r->len - r->written < left ? r->len - r->written : left;
       left -= part;
       r->written += part;
@@ -237,7 +236,7 @@
 {
   struct record *r;
   int n = 0;
-  TAILQ_FOREACH (r, &c->out, link)
+  TAILQ_FOREACH (r, &c->send_queue, link)
   {
     if (n == WRITE_VECTORS)
       break;
@@ -252,7 +251,7 @@
 conn_flush (struct conn *c)
 {
   struct iovec vectors[WRITE_VECTORS];
-  while (!TAILQ_EMPTY (&c->out))
+  while (!TAILQ_EMPTY (&c->send_queue))
     {
       struct msghdr message = { .msg_iov = vectors };
       message.msg_iovlen = (size_t)fill_vectors (c, vectors);
@@ -331,7 +330,7 @@
 static void
 handle_input (struct conn *c, size_t len)
 {
-  struct buffer *in = &c->in;
+  struct buffer *in = &c->input;
   char *scratch = c->net->scratch;
   c->last_received_ms = clock_now_ms (c->net->clock);
   if (in->len == 0)
--- a/src/net/peer_net_internal.h
+++ b/src/net/peer_net_internal.h
@@ -54,7 +54,7 @@
   peer_runners_done *runners;
 };
 
-/* An outgoing call, linked to its connection or to peer_net.ended.  */
+/* An outgoing call, linked to its connection or to peer_net.ended_calls.  */
 struct call
 {
   uint32_t xid;
@@ -90,10 +90,10 @@
   enum conn_state state;
   int events; /* events that io watches */
   ev_io io;
-  struct buffer in; /* bytes of an incomplete record */
-  struct record_list out;
-  size_t out_bytes;
-  unsigned out_records;
+  struct buffer input; /* bytes of an incomplete record */
+  struct record_list send_queue;
+  size_t queued_bytes;
+  unsigned queued_records;
   int64_t last_received_ms;  /* time of the last input, or of the opening */
   int64_t last_keepalive_ms; /* time of the last keepalive sent */
   uint32_t hello_xid;
@@ -149,8 +149,8 @@
   struct conn_list conns;
   struct conn_list closed_conns; /* freed by the deferred watcher */
   STAILQ_HEAD (dirty_list, conn) dirty;
-  struct call_list ended;  /* their callbacks are pending */
-  unsigned awaiting_hello; /* inbound connections before their hello */
+  struct call_list ended_calls; /* their callbacks are pending */
+  unsigned awaiting_hello;      /* inbound connections before their hello */
   uint32_t next_xid;
   uint64_t refused_hellos;
   int64_t last_tick_ms;
--- a/src/net/peer_net_link.c
+++ b/src/net/peer_net_link.c
@@ -101,7 +101,7 @@
   conn_queue (c, RECORD_CONTROL, bytes, len, NULL);
 }
 
-/* Returns PEER_DENIALS when HELLO is acceptable; *OUT is the peer it names, or NULL.  */
+/* Returns PEER_NOT_DENIED when HELLO is acceptable; *OUT is the peer it names, or NULL.  */
 static enum peer_denial
 check_hello (struct peer_net *net, const peer_hello *hello, struct peer **out)
 {
@@ -117,7 +117,7 @@
     return PEER_DENIED_UNKNOWN_PEER;
   if (hello->incarnation < p->incarnation)
     return PEER_DENIED_INCARNATION;
-  return PEER_DENIALS;
+  return PEER_NOT_DENIED;
 }
 
 static void
@@ -226,7 +226,7 @@
   if (peer_decode_args (PEER_HELLO, body, len, &args) < 0)
     return -1;
   enum peer_denial denial = check_hello (c->net, &args.hello, &p);
-  if (denial == PEER_DENIALS)
+  if (denial == PEER_NOT_DENIED)
     accept_hello (c, p, &args.hello, h->xid);
   else
     {
@@ -267,13 +267,13 @@
   if (h->outcome != PEER_SUCCESS || peer_decode_result (PEER_HELLO, body, len, &result) < 0)
     return -1;
   enum peer_denial denial = check_hello (c->net, &result.hello, &p);
-  if (denial == PEER_DENIALS && p != c->peer)
+  if (denial == PEER_NOT_DENIED && p != c->peer)
     denial = PEER_DENIED_UNKNOWN_PEER;
-  if (denial == PEER_DENIALS)
+  if (denial == PEER_NOT_DENIED)
     outbound_ready (c, &result.hello);
   else
     {
-      count_refusal (c->net, c->peer, c->peer->name, "refused the answer to the hello from",
+      count_refusal (c->net, c->peer, c->peer->name, "refused the hello reply received from",
                      denial);
       conn_close (c, "hello refused");
     }
--- a/tests/test_peer_codec.c
+++ b/tests/test_peer_codec.c
@@ -115,7 +115,7 @@
   struct peer_header h;
   (void)state;
   for (int outcome = PEER_UNKNOWN_PROCEDURE; outcome <= PEER_DENIED; outcome++)
-    for (int denial = 0; denial < PEER_DENIALS; denial++)
+    for (int denial = 0; denial < PEER_DENIAL_COUNT; denial++)
       {
         char *bytes
             = peer_encode_failure (9, (enum peer_outcome)outcome, (enum peer_denial)denial, &len);
--- a/tests/test_peer_net.c
+++ b/tests/test_peer_net.c
@@ -243,7 +243,7 @@
   assert_int_equal (o->calls, 0);
 }
 
-/* Raw TCP endpoints without the protocol.  */
+/* Plain TCP sockets that do not speak the protocol.  */
 static int
 raw_connect (int port)
 {
@@ -348,7 +348,7 @@
   close_endpoint (&b);
 }
 
-/* The peer dies during a call: one failure, OUTCOME_UNKNOWN; the next call is not executed.  */
+/* The peer dies during a call: one failure, OUTCOME_UNKNOWN; the next fails with NO_QUORUM.  */
 static void
 test_peer_dies_during_call (void **state)
 {
@@ -527,12 +527,13 @@
 }
 
 /* Idle connections stay open, and their traffic stays below half of the limit of 4 KB/s for control
-   traffic of a VM, for 7 peers and with 40 bytes of IP and TCP headers per message and ack.  */
+   traffic of a VM, for 7 peers with 52 bytes of headers (IP, TCP, timestamps) per message and ack.
+ */
 static void
 test_idle_traffic (void **state)
 {
   const int seconds = 20;
-  const uint64_t headers = 2 * 52;
+  const uint64_t header_bytes = 2 * 52;
   struct endpoint a;
   struct endpoint b;
   (void)state;
@@ -542,7 +543,7 @@
   struct peer_stats after = info_of (&a, 2).stats;
   uint64_t bytes = after.sent_bytes - before.sent_bytes;
   uint64_t messages = after.sent_messages - before.sent_messages;
-  uint64_t per_second = 7 * (bytes + messages * headers) / (uint64_t)seconds;
+  uint64_t per_second = 7 * (bytes + messages * header_bytes) / (uint64_t)seconds;
   print_message ("idle: %llu bytes/s for 7 peers, headers included\n",
                  (unsigned long long)per_second);
   assert_true (per_second < 2048);
@@ -615,7 +616,7 @@
 
 /* Connections without a hello are limited and closed, and a peer can still connect.  */
 static void
-test_idle_unknown_senders (void **state)
+test_conns_without_hello (void **state)
 {
   struct endpoint a;
   struct endpoint b;
@@ -751,7 +752,7 @@
     cmocka_unit_test_setup_teardown (test_slow_peer, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_idle_traffic, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_malformed_input, set_up, tear_down),
-    cmocka_unit_test_setup_teardown (test_idle_unknown_senders, set_up, tear_down),
+    cmocka_unit_test_setup_teardown (test_conns_without_hello, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_late_tick, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_peer_list_changes, set_up, tear_down),
     cmocka_unit_test_setup_teardown (test_backoff, set_up, tear_down),
