--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,7 +1,7 @@
-/* The soak's main program; see soak.h.
+/* Main program of the soak test; see soak.h.
 
    Usage: soak BUILD-FOLDER SEED [SECONDS]
-   Exit code 0: no promise was broken.  1: some were; the logs stay in the folder that is named.  */
+   Exit code 0: no invariant was violated.  1: some were; the logs stay in the printed folder.  */
 #include <signal.h>
 #include <stdlib.h>
 #include <string.h>
@@ -14,15 +14,14 @@
 
 #define TICK_S 0.01
 #define DEFAULT_SECONDS 15
-/* After the last fault all that was accepted completes: an election, leases that run out, the work.
- */
+/* Time to complete all accepted jobs after the last fault: an election, lease expiry, the work.  */
 #define SETTLE_MS 30000
-#define CALM_MS 4000 /* after the start: a leader, a configuration, workers known */
-#define FAULT_EVERY_MS 450
-/* The users state that one lost disk is borne.  Its VM votes again a few seconds later, when
-   nothing else happens to the core; until then another loss leaves less than a quorum with its
-   content.  */
-#define DISK_REST_MS 9000
+#define STARTUP_MS 4000 /* to elect a leader, apply a configuration and register the workers */
+#define FAULT_INTERVAL_MS 450
+/* The system has to tolerate the loss of one disk.  The VM votes again a few seconds later if no
+   other fault hits the core VMs; until then a second loss leaves less than a quorum with its
+   data.  */
+#define DISK_RECOVERY_MS 9000
 
 enum fault
 {
@@ -31,8 +30,8 @@
   CORE_PAUSE,
   CORE_DISK,
   CORE_LINK,
-  CORE_LINK_AGAIN, /* twice as likely as the others */
-  LAST_CORE_FAULT = CORE_LINK_AGAIN,
+  CORE_LINK_REPEAT, /* twice as likely as the others */
+  LAST_CORE_FAULT = CORE_LINK_REPEAT,
   FRONT_END,
   FRONT_PAUSE,
   RELOAD,
@@ -51,21 +50,21 @@
 };
 
 static void
-disturb_core (struct soak *s, struct soak_vm *vm)
+inject_core_link_fault (struct soak *s, struct soak_vm *vm)
 {
   static const enum link_mode modes[]
-      = { LINK_PASSES, LINK_SILENT_IN, LINK_SILENT_OUT, LINK_SILENT, LINK_REFUSES };
+      = { LINK_FORWARD, LINK_BLOCK_IN, LINK_BLOCK_OUT, LINK_BLOCK, LINK_RESET };
   int64_t delay_ms = rng_chance (&s->rng, 0.4) ? rng_between (&s->rng, 10, 300) : 0;
-  vm_disturb (vm, modes[rng_below (&s->rng, 5)], delay_ms, rng_between (&s->rng, 200, 4000));
+  vm_set_link_fault (vm, modes[rng_below (&s->rng, 5)], delay_ms, rng_between (&s->rng, 200, 4000));
 }
 
 static void
-disturb_worker (struct soak *s, struct soak_worker *w)
+inject_worker_link_fault (struct soak *s, struct soak_worker *w)
 {
-  static const enum link_mode modes[]
-      = { LINK_PASSES, LINK_SILENT_IN, LINK_SILENT_OUT, LINK_REFUSES };
+  static const enum link_mode modes[] = { LINK_FORWARD, LINK_BLOCK_IN, LINK_BLOCK_OUT, LINK_RESET };
   int64_t delay_ms = rng_chance (&s->rng, 0.3) ? rng_between (&s->rng, 10, 500) : 0;
-  worker_disturb (w, modes[rng_below (&s->rng, 4)], delay_ms, rng_between (&s->rng, 200, 7000));
+  worker_set_link_fault (w, modes[rng_below (&s->rng, 4)], delay_ms,
+                         rng_between (&s->rng, 200, 7000));
 }
 
 static void
@@ -81,7 +80,7 @@
 }
 
 static void
-inject (struct schedule *c)
+inject_fault (struct schedule *c)
 {
   struct soak *s = c->soak;
   struct soak_vm *core = &s->cores[rng_below (&s->rng, SOAK_CORES)];
@@ -90,7 +89,7 @@
   int64_t span_ms = rng_between (&s->rng, 50, 3500);
   enum fault kind = (enum fault)rng_below (&s->rng, FAULT_KINDS);
   if (c->disk_was_lost && kind <= LAST_CORE_FAULT)
-    c->next_disk_ms = s->now_ms + DISK_REST_MS;
+    c->next_disk_ms = s->now_ms + DISK_RECOVERY_MS;
   switch (kind)
     {
     case CORE_KILL:
@@ -116,11 +115,11 @@
         kill (core->pid, SIGHUP);
       break;
     case CORE_LINK:
-    case CORE_LINK_AGAIN:
-      disturb_core (s, core);
+    case CORE_LINK_REPEAT:
+      inject_core_link_fault (s, core);
       break;
     case WORKER_LINK:
-      disturb_worker (s, worker);
+      inject_worker_link_fault (s, worker);
       break;
     case WORKER_CRASH:
       worker_crash (worker, span_ms);
@@ -156,8 +155,8 @@
     end_faults (s);
   if (!s->faults_over && s->now_ms >= c->next_fault_ms)
     {
-      c->next_fault_ms = s->now_ms + (int64_t)rng_exponential (&s->rng, FAULT_EVERY_MS);
-      inject (c);
+      c->next_fault_ms = s->now_ms + (int64_t)rng_exponential (&s->rng, FAULT_INTERVAL_MS);
+      inject_fault (c);
     }
   for (int i = 0; i < SOAK_CORES; i++)
     vm_tick (&s->cores[i]);
@@ -182,7 +181,7 @@
       char listen_address[SOAK_ADDRESS_BYTES];
       char target[SOAK_ADDRESS_BYTES];
       soak_address (s, HOST_CORE (n), FIRST_PORT + i, listen_address);
-      soak_address (s, HOST_CORE_BEHIND (n), FIRST_PORT + i, target);
+      soak_address (s, HOST_CORE_TARGET (n), FIRST_PORT + i, target);
       vm->links[i] = proxy_open (s->loop, listen_address, target);
     }
   vm_start (vm);
@@ -219,7 +218,7 @@
   struct schedule c = { .soak = s };
   open_all (s);
   c.began_ms = s->now_ms;
-  c.next_fault_ms = c.began_ms + CALM_MS;
+  c.next_fault_ms = c.began_ms + STARTUP_MS;
   c.faults_end_ms = c.next_fault_ms + seconds * 1000;
   c.settle_end_ms = c.faults_end_ms + SETTLE_MS;
   ev_timer_init (&c.tick, on_tick, 0.0, TICK_S);
@@ -229,8 +228,8 @@
   printf ("settled %lld ms after the last fault\n", (long long)(s->now_ms - c.faults_end_ms));
   jobs_report (s);
   if (!config_settled (s))
-    violated (s, "CONFIG: version %d is not acknowledged or not read back at the end",
-              s->sent_version);
+    report_violation (s, "CONFIG: version %d was not acknowledged or not read back at the end",
+                      s->sent_version);
   for (int i = 0; i < SOAK_CORES; i++)
     end_process (&s->cores[i]);
   for (int i = 0; i < SOAK_FRONTS; i++)
@@ -251,7 +250,7 @@
   signal (SIGPIPE, SIG_IGN);
   curl_global_init (CURL_GLOBAL_DEFAULT);
   rng_init (&s.rng, seed);
-  s.helped = seed % 2 == 0;
+  s.use_helpers = seed % 2 == 0;
   s.build = argv[1];
   snprintf (s.net, sizeof s.net, "127.%d.%d", 10 + (int)(getpid () / 250 % 240),
             1 + (int)(getpid () % 250));
@@ -259,7 +258,7 @@
   if (!mkdtemp (s.folder))
     return 2;
   run (&s, argc > 3 ? strtol (argv[3], NULL, 10) : DEFAULT_SECONDS);
-  printf ("seed %llu: %u broken promises\n", (unsigned long long)seed, s.violations);
+  printf ("seed %llu: %u invariant violations\n", (unsigned long long)seed, s.violations);
   if (s.violations > 0)
     {
       printf ("logs: %s\n", s.folder);
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,12 +1,12 @@
-/* soak: a randomized run of the real programs under faults that come from outside them.
+/* soak: a randomized fault-injection test of the real programs.
 
-   Starts core and front VMs as separate processes, plays their workers and callers itself, stands
-   between them with a loopback proxy, and injects faults: connections that are delayed, silenced
-   one way or reset; processes that are paused, stopped, killed and restarted; disks that are lost;
-   workers that crash or carry orders out late.  Promises are checked from what callers and workers
-   see.
+   Starts core and front VMs as separate processes, simulates their workers and clients, connects
+   them through a loopback proxy and injects faults: connections that are delayed, blocked in one
+   direction or reset; processes that are paused, stopped, killed and restarted; disks that are
+   lost; workers that crash or execute orders late.  Invariants are checked from what clients and
+   workers observe.
 
-   Everything follows from the seed but the scheduling of the machine.  */
+   Apart from process scheduling, a run is determined by its seed.  */
 
 #ifndef SASSAFRAS_SOAK_H
 #define SASSAFRAS_SOAK_H
@@ -35,14 +35,14 @@
 
 struct soak;
 
-/* soak_proxy.c: one listening address whose connections go on to another.  */
+/* soak_proxy.c: forwards connections from one listening address to another.  */
 enum link_mode
 {
-  LINK_PASSES,
-  LINK_SILENT_IN,  /* nothing of the caller arrives */
-  LINK_SILENT_OUT, /* no answer arrives */
-  LINK_SILENT,     /* both */
-  LINK_REFUSES,    /* resets open and new connections */
+  LINK_FORWARD,
+  LINK_BLOCK_IN,  /* data from the client is held back */
+  LINK_BLOCK_OUT, /* data to the client is held back */
+  LINK_BLOCK,     /* both directions */
+  LINK_RESET,     /* open and new connections are reset */
 };
 
 struct proxy_link;
@@ -51,7 +51,7 @@
 void proxy_close (struct proxy_link *l);
 void proxy_set (struct proxy_link *l, enum link_mode mode, int64_t delay_ms);
 
-/* soak_vm.c: processes of the product.  */
+/* soak_vm.c: the VM processes under test.  */
 enum vm_role
 {
   VM_CORE,
@@ -65,10 +65,10 @@
   int number; /* from 1 */
   pid_t pid;  /* 0 while it is down */
   bool paused;
-  bool ending;      /* we sent a signal that ends it */
-  bool disk_lost;   /* remove its disk before the next start */
-  bool first_start; /* its disk has content, or the whole system starts */
-  int64_t up_at_ms; /* start it then; 0: it is up */
+  bool ending;      /* the test has sent a terminating signal */
+  bool disk_lost;   /* remove its data before the next start */
+  bool first_start; /* its disk has data, or the whole system starts */
+  int64_t up_at_ms; /* time of the next start; 0: it is up */
   int64_t resume_at_ms;
   ev_child exited;
   struct proxy_link *links[2]; /* core: peers, relayed requests */
@@ -76,51 +76,52 @@
 };
 
 void vm_start (struct soak_vm *vm);
-void vm_end (struct soak_vm *vm, int sig, int64_t down_ms); /* Restarted DOWN_MS later. */
+void vm_end (struct soak_vm *vm, int sig, int64_t down_ms); /* Restarts it after DOWN_MS. */
 void vm_pause (struct soak_vm *vm, int64_t for_ms);
 void vm_lose_disk (struct soak_vm *vm, int64_t down_ms);
-void vm_disturb (struct soak_vm *vm, enum link_mode mode, int64_t delay_ms, int64_t for_ms);
-void vm_tick (struct soak_vm *vm); /* Restarts, resumes and heals what is due. */
-void vm_heal (struct soak_vm *vm); /* Does so at once. */
+void vm_set_link_fault (struct soak_vm *vm, enum link_mode mode, int64_t delay_ms, int64_t for_ms);
+void vm_tick (struct soak_vm *vm); /* Performs restarts, resumes and link repairs that are due. */
+void vm_heal (struct soak_vm *vm); /* Performs them at once. */
 
-/* soak_worker.c: a worker of the users' platform, which is called.  */
+/* soak_worker.c: a simulated worker, which receives orders by HTTP.  */
 struct soak_worker;
 struct soak_worker *worker_open (struct soak *s, int number);
 void worker_close (struct soak_worker *w);
 void worker_tick (struct soak_worker *w);
-void worker_crash (struct soak_worker *w, int64_t down_ms); /* Comes back as another life. */
-void worker_delay (struct soak_worker *w, int64_t orders_late_ms, int64_t for_ms);
-void worker_disturb (struct soak_worker *w, enum link_mode mode, int64_t delay_ms, int64_t for_ms);
+void worker_crash (struct soak_worker *w, int64_t down_ms); /* Restarts as a new incarnation. */
+void worker_delay (struct soak_worker *w, int64_t order_delay_ms, int64_t for_ms);
+void worker_set_link_fault (struct soak_worker *w, enum link_mode mode, int64_t delay_ms,
+                            int64_t for_ms);
 void worker_heal (struct soak_worker *w);
 
-/* soak_jobs.c: callers, the operator, and the promises.  */
-void jobs_tick (struct soak *s);    /* Submits, repeats, cancels, reads. */
-bool jobs_settled (struct soak *s); /* All that was accepted has been completed. */
-void jobs_report (struct soak *s);  /* Counts on standard output. */
-void config_tick (struct soak *s);  /* Changes and reads the configuration. */
+/* soak_jobs.c: simulated clients and operator; the invariants.  */
+void jobs_tick (struct soak *s);    /* Submits, retries, cancels and reads jobs. */
+bool jobs_settled (struct soak *s); /* Every accepted job has completed or was cancelled. */
+void jobs_report (struct soak *s);  /* Prints the counts to standard output. */
+void config_tick (struct soak *s);  /* Updates and reads the configuration. */
 bool config_settled (struct soak *s);
 void task_started (struct soak *s, const char *task, int run);
 void task_ended (struct soak *s, const char *task, bool done);
-void task_end_noted (struct soak *s, const char *task,
-                     int run); /* The done end of RUN was acknowledged. */
-void violated (struct soak *s, const char *format, ...)
-    __attribute__ ((format (printf, 2, 3))); /* A promise is broken: the run fails. */
+void task_end_acknowledged (struct soak *s, const char *task,
+                            int run); /* The completion of RUN was acknowledged. */
+void report_violation (struct soak *s, const char *format, ...)
+    __attribute__ ((format (printf, 2, 3))); /* An invariant is violated: the run fails. */
 
 struct soak_task
 {
   int running;
   int starts;
-  int last_run; /* the highest that started */
-  bool done;    /* a run has ended done */
-  bool noted;   /* such an end was acknowledged */
+  int last_run;          /* highest run number that started */
+  bool done;             /* a run has completed */
+  bool end_acknowledged; /* a completion was acknowledged */
 };
 
 enum job_state
 {
   JOB_SENDING,
   JOB_ACCEPTED,
-  JOB_REFUSED, /* every attempt was: it must never run */
-  JOB_UNCLEAR, /* no clear answer in time */
+  JOB_REFUSED, /* every attempt was refused: it must never run */
+  JOB_UNKNOWN, /* no definite answer in time */
   JOB_COMPLETED,
 };
 
@@ -130,12 +131,12 @@
   uint64_t id;
   enum job_state state;
   unsigned attempts;
-  bool unclear; /* an attempt had no clear answer */
-  bool call_open;
+  bool outcome_unknown; /* an attempt had no definite answer */
+  bool call_pending;
   int64_t next_ms;
   bool wants_cancel;
   int64_t cancel_at_ms;
-  int64_t cancelled_ms; /* acknowledged; 0 is not */
+  int64_t cancelled_ms; /* time of the acknowledgement, 0: none */
   struct soak_task tasks[JOB_TASKS];
 };
 
@@ -146,9 +147,9 @@
   struct http_client *client;
   const char *build;
   char folder[SOAK_PATH_BYTES];
-  char net[16]; /* first three numbers of every address */
+  char net[16]; /* first three octets of every address */
   int64_t now_ms;
-  bool helped; /* core VMs call workers for the leader, as with many workers */
+  bool use_helpers; /* core VMs call workers on behalf of the leader, as with many workers */
   bool faults_over;
   unsigned violations;
   struct soak_vm cores[SOAK_CORES];
@@ -158,13 +159,13 @@
   size_t job_count;
   int64_t next_job_ms;
   /* Configuration.  */
-  bool config_open, read_open;
+  bool config_pending, read_pending;
   int sent_version;
   int acknowledged_version;
   int64_t acknowledged_ms;
-  int bound_version; /* acknowledged when the open read was sent, long enough before */
+  int min_read_version; /* acknowledged at least CONFIG_APPLY_LIMIT_MS before the pending read */
   int64_t next_config_ms, next_read_ms;
-  int read_version; /* of the last read */
+  int read_version; /* version in the last read */
 };
 
 #define CONTROL_PORT 8166
@@ -177,11 +178,11 @@
   snprintf (out, SOAK_ADDRESS_BYTES, "%s.%d:%d", s->net, host, port);
 }
 
-/* Last numbers of the addresses; a proxy listens where others are told to call.  */
+/* Last octets of the addresses.  The proxy listens on the advertised one, the process on TARGET. */
 #define HOST_CORE(n) (n)
-#define HOST_CORE_BEHIND(n) (100 + (n))
+#define HOST_CORE_TARGET(n) (100 + (n))
 #define HOST_FRONT(n) (50 + (n))
 #define HOST_WORKER(n) (150 + (n))
-#define HOST_WORKER_BEHIND(n) (200 + (n))
+#define HOST_WORKER_TARGET(n) (200 + (n))
 
 #endif
--- a/tests/soak/soak_jobs.c
+++ b/tests/soak/soak_jobs.c
@@ -1,4 +1,4 @@
-/* Callers and the operator of the soak, and the promises they and the workers check.  */
+/* Simulated clients and operator of the soak test, and the invariants that are checked.  */
 #include <inttypes.h>
 #include <stdarg.h>
 #include <stdlib.h>
@@ -6,23 +6,23 @@
 
 #include "soak.h"
 
-#define JOB_EVERY_MS 120
+#define JOB_INTERVAL_MS 120
 #define DEADLINE_MS 3000
-#define MOST_ATTEMPTS 12
-#define STATE_EVERY_MS 700
-#define CANCEL_PART 0.1
-#define CANCEL_MS 4000 /* no start of a cancelled job after so long, as the platform states it */
-#define CONFIG_EVERY_MS 1500
-#define READ_EVERY_MS 400
-#define CONFIG_APPLY_MS 3000 /* no older configuration is read after so long, likewise */
+#define MAX_ATTEMPTS 12
+#define STATE_INTERVAL_MS 700
+#define CANCEL_PROBABILITY 0.1
+#define CANCEL_LIMIT_MS 4000 /* specified bound after which a cancelled job starts no task */
+#define CONFIG_INTERVAL_MS 1500
+#define READ_INTERVAL_MS 400
+#define CONFIG_APPLY_LIMIT_MS 3000 /* specified bound after which no older version is read */
 #define BODY_BYTES 900
 
 void
-violated (struct soak *s, const char *format, ...)
+report_violation (struct soak *s, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
-  fprintf (stdout, "BROKEN at %" PRId64 " ms: ", s->now_ms);
+  fprintf (stdout, "VIOLATION at %" PRId64 " ms: ", s->now_ms);
   vfprintf (stdout, format, args);
   fprintf (stdout, "\n");
   va_end (args);
@@ -38,7 +38,7 @@
   return NULL;
 }
 
-/* The task of a name ID.K.STEP.INDEX; reports a name that nobody submitted.  */
+/* Finds the task named ID.K.STEP.INDEX; a task that was never submitted is a violation.  */
 static struct soak_task *
 find_task (struct soak *s, const char *name, struct soak_job **job, int *step)
 {
@@ -50,7 +50,7 @@
   int at = *step == 0 ? index : FIRST_STEP_TASKS + index;
   if (*job && occurrence == 0 && at >= 0 && at < JOB_TASKS)
     return &(*job)->tasks[at];
-  violated (s, "UNASKED: task %s", name);
+  report_violation (s, "UNREQUESTED: task %s", name);
   return NULL;
 }
 
@@ -63,19 +63,19 @@
   if (!t)
     return;
   if (++t->running > 1)
-    violated (s, "TWICE: %s run %d starts while another run works", name, run);
-  if (t->done && t->noted)
-    violated (s, "TWICE: %s run %d starts after its end was acknowledged", name, run);
+    report_violation (s, "TWICE: %s run %d starts while another run is active", name, run);
+  if (t->done && t->end_acknowledged)
+    report_violation (s, "TWICE: %s run %d starts after its end was acknowledged", name, run);
   t->last_run = run > t->last_run ? run : t->last_run;
   for (int i = 0; step > 0 && i < FIRST_STEP_TASKS; i++)
     if (!j->tasks[i].done)
-      violated (s, "ORDER: %s run %d starts before task %d of the first step is done", name, run,
-                i);
+      report_violation (s, "ORDER: %s run %d starts before task %d of the first step is done", name,
+                        run, i);
   if (j->state == JOB_REFUSED)
-    violated (s, "REFUSED: %s run %d starts", name, run);
-  if (j->cancelled_ms && s->now_ms - j->cancelled_ms > CANCEL_MS)
-    violated (s, "UNASKED: %s run %d starts %" PRId64 " ms after the cancel", name, run,
-              s->now_ms - j->cancelled_ms);
+    report_violation (s, "REFUSED: %s run %d starts", name, run);
+  if (j->cancelled_ms && s->now_ms - j->cancelled_ms > CANCEL_LIMIT_MS)
+    report_violation (s, "UNREQUESTED: %s run %d starts %" PRId64 " ms after the cancel", name, run,
+                      s->now_ms - j->cancelled_ms);
   t->starts++;
 }
 
@@ -92,7 +92,7 @@
 }
 
 void
-task_end_noted (struct soak *s, const char *name, int run)
+task_end_acknowledged (struct soak *s, const char *name, int run)
 {
   struct soak_job *j;
   int step;
@@ -100,9 +100,9 @@
   if (!t)
     return;
   if (t->last_run > run)
-    violated (s, "TWICE: %s run %d started, and the end of run %d is acknowledged now", name,
-              t->last_run, run);
-  t->noted = true;
+    report_violation (s, "TWICE: %s run %d started before the end of run %d was acknowledged", name,
+                      t->last_run, run);
+  t->end_acknowledged = true;
 }
 
 static void
@@ -122,7 +122,7 @@
                                   .timeout_ms = DEADLINE_MS,
                                   .done = done,
                                   .done_arg = j };
-  j->call_open = true;
+  j->call_pending = true;
   http_client_send (s->client, &call);
 }
 
@@ -132,23 +132,23 @@
   struct soak_job *j = arg;
   struct soak *s = j->soak;
   bool refused = a->code == 429 || a->code == 503 || a->code == 404;
-  j->call_open = false;
+  j->call_pending = false;
   j->next_ms = s->now_ms + (a->retry_after_s > 0 ? a->retry_after_s * 1000 : 300);
   if (a->code == 200)
     j->state = JOB_ACCEPTED;
   else if (a->code == 400 || a->code == 500)
-    violated (s, "job %016" PRIx64 " is answered %d", j->id, a->code);
-  /* A connection that could not be made has carried nothing.  */
-  j->unclear = j->unclear || (!refused && a->code != 200 && a->sent);
-  if (j->state == JOB_SENDING && (++j->attempts >= MOST_ATTEMPTS || s->faults_over))
-    j->state = j->unclear ? JOB_UNCLEAR : JOB_REFUSED;
+    report_violation (s, "job %016" PRIx64 " got answer %d", j->id, a->code);
+  /* A request whose connection failed was never sent.  */
+  j->outcome_unknown = j->outcome_unknown || (!refused && a->code != 200 && a->sent);
+  if (j->state == JOB_SENDING && (++j->attempts >= MAX_ATTEMPTS || s->faults_over))
+    j->state = j->outcome_unknown ? JOB_UNKNOWN : JOB_REFUSED;
 }
 
 static void
 submit (struct soak_job *j)
 {
   char body[BODY_BYTES];
-  /* A repeat must say the same: the time of a task follows from the id.  */
+  /* A retry must have the same body, so the run time of a task is derived from the id.  */
   snprintf (body, sizeof body,
             "{\"spec\":\"%d\",\"steps\":[{\"count\":%d,\"cpu\":1000,\"mem_mb\":100,"
             "\"estimate_ms\":200},{\"count\":%d,\"cpu\":1000,\"mem_mb\":100,\"estimate_ms\":200,"
@@ -161,11 +161,11 @@
 on_cancelled (void *arg, const struct http_answer *a)
 {
   struct soak_job *j = arg;
-  j->call_open = false;
+  j->call_pending = false;
   j->next_ms = j->soak->now_ms + 300;
   if (a->code == 200 || a->code == 410)
     j->cancelled_ms = j->soak->now_ms;
-  /* The faults do not lose what was accepted: 410 means that it was cancelled before.  */
+  /* Accepted jobs survive the faults, so 410 means that the job was cancelled before.  */
 }
 
 static bool
@@ -184,13 +184,14 @@
   bool completed = a->code == 200 && a->body.data && strstr (a->body.data, "\"completed\"");
   bool cancelled = a->code == 200 && a->body.data && strstr (a->body.data, "\"cancelled\"");
   bool failed = a->code == 200 && a->body.data && strstr (a->body.data, "\"failed\"");
-  j->call_open = false;
-  j->next_ms = j->soak->now_ms + STATE_EVERY_MS;
+  j->call_pending = false;
+  j->next_ms = j->soak->now_ms + STATE_INTERVAL_MS;
   if (completed && !all_done (j))
-    violated (j->soak, "MIXED: job %016" PRIx64 " is shown as completed", j->id);
+    report_violation (j->soak, "MIXED: job %016" PRIx64 " is reported as completed too early",
+                      j->id);
   if (a->code == 410 || (cancelled && !j->wants_cancel) || failed)
-    violated (j->soak, "LOST: job %016" PRIx64 " is answered %d %.60s", j->id, a->code,
-              a->body.data ? a->body.data : "");
+    report_violation (j->soak, "LOST: job %016" PRIx64 " got answer %d %.60s", j->id, a->code,
+                      a->body.data ? a->body.data : "");
   if (completed)
     j->state = JOB_COMPLETED;
 }
@@ -199,7 +200,7 @@
 tick_job (struct soak_job *j)
 {
   struct soak *s = j->soak;
-  if (j->call_open || s->now_ms < j->next_ms)
+  if (j->call_pending || s->now_ms < j->next_ms)
     return;
   if (j->state == JOB_SENDING)
     submit (j);
@@ -214,10 +215,10 @@
 add_job (struct soak *s)
 {
   struct soak_job *j = &s->jobs[s->job_count++];
-  s->next_job_ms = s->now_ms + (int64_t)rng_exponential (&s->rng, JOB_EVERY_MS);
+  s->next_job_ms = s->now_ms + (int64_t)rng_exponential (&s->rng, JOB_INTERVAL_MS);
   j->soak = s;
   j->id = rng_next (&s->rng);
-  j->wants_cancel = rng_chance (&s->rng, CANCEL_PART);
+  j->wants_cancel = rng_chance (&s->rng, CANCEL_PROBABILITY);
   j->cancel_at_ms = s->now_ms + rng_between (&s->rng, 100, 1500);
 }
 
@@ -257,11 +258,11 @@
       for (int k = 0; k < JOB_TASKS; k++)
         starts += j->tasks[k].starts;
       if (j->state == JOB_ACCEPTED && !j->cancelled_ms)
-        violated (s, "LOST: job %016" PRIx64 " was accepted and is not completed", j->id);
+        report_violation (s, "LOST: job %016" PRIx64 " was accepted but not completed", j->id);
     }
-  printf ("%zu jobs: %u completed, %u cancelled, %u refused, %u unclear; %d starts; configuration "
+  printf ("%zu jobs: %u completed, %u cancelled, %u refused, %u unknown; %d starts; configuration "
           "%d sent, %d acknowledged, %d read\n",
-          s->job_count, count[JOB_COMPLETED], cancelled, count[JOB_REFUSED], count[JOB_UNCLEAR],
+          s->job_count, count[JOB_COMPLETED], cancelled, count[JOB_REFUSED], count[JOB_UNKNOWN],
           starts, s->sent_version, s->acknowledged_version, s->read_version);
 }
 
@@ -285,9 +286,9 @@
 on_config_put (void *arg, const struct http_answer *a)
 {
   struct soak *s = arg;
-  s->config_open = false;
+  s->config_pending = false;
   if (a->code == 400)
-    violated (s, "CONFIG: version %d is called invalid", s->sent_version);
+    report_violation (s, "CONFIG: version %d was refused as invalid", s->sent_version);
   if (a->code != 200)
     return;
   s->acknowledged_version = s->sent_version;
@@ -298,18 +299,18 @@
 on_config_read (void *arg, const struct http_answer *a)
 {
   struct soak *s = arg;
-  s->read_open = false;
+  s->read_pending = false;
   const char *version
       = a->code == 200 && a->body.data ? strstr (a->body.data, "\"version\":") : NULL;
   if (!version)
     return;
   s->read_version = (int)strtol (version + strlen ("\"version\":"), NULL, 10);
-  if (s->read_version < s->bound_version)
-    violated (s, "CONFIG: version %d is read, %d was acknowledged long before", s->read_version,
-              s->bound_version);
+  if (s->read_version < s->min_read_version)
+    report_violation (s, "CONFIG: read version %d long after version %d was acknowledged",
+                      s->read_version, s->min_read_version);
 }
 
-/* A version without an acknowledgement is sent again as it was.  */
+/* Resends the same version until it is acknowledged.  */
 static void
 put_config (struct soak *s)
 {
@@ -322,9 +323,9 @@
             "\"pool\",\"max_attempts\":3,\"stretch\":2}],\"services\":[{\"name\":\"pool\","
             "\"rejects_overload\":true}],\"limits\":{}}",
             s->sent_version);
-  s->config_open = true;
+  s->config_pending = true;
   s->next_config_ms
-      = s->now_ms + (s->acknowledged_version > 0 && !s->faults_over ? CONFIG_EVERY_MS : 300);
+      = s->now_ms + (s->acknowledged_version > 0 && !s->faults_over ? CONFIG_INTERVAL_MS : 300);
   call_control (s, "PUT", body, on_config_put);
 }
 
@@ -332,14 +333,14 @@
 config_tick (struct soak *s)
 {
   bool more = !s->faults_over || s->sent_version != s->acknowledged_version;
-  if (!s->config_open && more && s->now_ms >= s->next_config_ms)
+  if (!s->config_pending && more && s->now_ms >= s->next_config_ms)
     put_config (s);
-  if (s->read_open || s->now_ms < s->next_read_ms)
+  if (s->read_pending || s->now_ms < s->next_read_ms)
     return;
-  if (s->now_ms - s->acknowledged_ms > CONFIG_APPLY_MS)
-    s->bound_version = s->acknowledged_version;
-  s->read_open = true;
-  s->next_read_ms = s->now_ms + READ_EVERY_MS;
+  if (s->now_ms - s->acknowledged_ms > CONFIG_APPLY_LIMIT_MS)
+    s->min_read_version = s->acknowledged_version;
+  s->read_pending = true;
+  s->next_read_ms = s->now_ms + READ_INTERVAL_MS;
   call_control (s, "GET", NULL, on_config_read);
 }
 
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -1,4 +1,4 @@
-/* A loopback proxy whose connections can be delayed, silenced one way or reset.  */
+/* A loopback proxy whose connections can be delayed, blocked in one direction or reset.  */
 #include <arpa/inet.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -12,7 +12,7 @@
 #include "soak.h"
 
 #define READ_BYTES 65536
-#define PUMP_S 0.005 /* delayed and silenced data is looked at this often */
+#define FLUSH_INTERVAL_S 0.005 /* interval for sending delayed and held data */
 
 struct chunk
 {
@@ -27,9 +27,9 @@
 {
   struct proxy_conn *conn;
   int from, to;
-  bool inbound; /* from the caller */
-  bool ended;   /* the sender has closed */
-  bool passed_end;
+  bool inbound; /* from the client */
+  bool ended;   /* the sender has closed its side */
+  bool end_forwarded;
   ev_io readable;
   STAILQ_HEAD (, chunk) chunks;
 };
@@ -49,14 +49,14 @@
   enum link_mode mode;
   int64_t delay_ms;
   ev_io accepting;
-  ev_timer pump;
+  ev_timer flush_timer;
   LIST_HEAD (, proxy_conn) conns;
 };
 
 static void
 close_conn (struct proxy_conn *c, bool reset)
 {
-  const struct linger hard = { .l_onoff = 1 };
+  const struct linger reset_on_close = { .l_onoff = 1 };
   for (int i = 0; i < 2; i++)
     {
       struct stream *s = &c->streams[i];
@@ -68,7 +68,7 @@
           free (k);
         }
       if (reset)
-        setsockopt (s->from, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+        setsockopt (s->from, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
     }
   close (c->streams[0].from);
   close (c->streams[1].from);
@@ -77,20 +77,20 @@
 }
 
 static bool
-is_silent (const struct proxy_link *l, const struct stream *s)
+is_blocked (const struct proxy_link *l, const struct stream *s)
 {
-  return l->mode == LINK_SILENT || (l->mode == LINK_SILENT_IN && s->inbound)
-         || (l->mode == LINK_SILENT_OUT && !s->inbound);
+  return l->mode == LINK_BLOCK || (l->mode == LINK_BLOCK_IN && s->inbound)
+         || (l->mode == LINK_BLOCK_OUT && !s->inbound);
 }
 
-/* Writes what is due; false when the connection is broken.  */
+/* Sends the data that is due; returns false on a connection error.  */
 static bool
-pump_stream (struct stream *s)
+flush_stream (struct stream *s)
 {
   struct proxy_link *l = s->conn->owner;
   struct chunk *k;
   int64_t now_ms = clock_now_ms (clock_real ());
-  while ((k = STAILQ_FIRST (&s->chunks)) != NULL && k->due_ms <= now_ms && !is_silent (l, s))
+  while ((k = STAILQ_FIRST (&s->chunks)) != NULL && k->due_ms <= now_ms && !is_blocked (l, s))
     {
       ssize_t n = send (s->to, k->data + k->written, k->len - k->written, MSG_NOSIGNAL);
       if (n < 0)
@@ -101,18 +101,18 @@
       STAILQ_REMOVE_HEAD (&s->chunks, link);
       free (k);
     }
-  if (s->ended && !s->passed_end && STAILQ_EMPTY (&s->chunks) && !is_silent (l, s))
+  if (s->ended && !s->end_forwarded && STAILQ_EMPTY (&s->chunks) && !is_blocked (l, s))
     {
       shutdown (s->to, SHUT_WR);
-      s->passed_end = true;
+      s->end_forwarded = true;
     }
   return true;
 }
 
 static bool
-is_over (const struct proxy_conn *c)
+is_closed (const struct proxy_conn *c)
 {
-  return c->streams[0].passed_end && c->streams[1].passed_end;
+  return c->streams[0].end_forwarded && c->streams[1].end_forwarded;
 }
 
 static void
@@ -138,12 +138,12 @@
       ev_io_stop (loop, &s->readable);
     }
   bool broken = n < 0 && errno != EAGAIN && errno != EINTR;
-  if (broken || !pump_stream (s) || is_over (c))
+  if (broken || !flush_stream (s) || is_closed (c))
     close_conn (c, broken);
 }
 
 static void
-on_pump (struct ev_loop *loop, ev_timer *w, int events)
+on_flush (struct ev_loop *loop, ev_timer *w, int events)
 {
   struct proxy_link *l = w->data;
   struct proxy_conn *c = LIST_FIRST (&l->conns);
@@ -152,7 +152,7 @@
   while (c)
     {
       struct proxy_conn *next = LIST_NEXT (c, link);
-      if (!pump_stream (&c->streams[0]) || !pump_stream (&c->streams[1]) || is_over (c))
+      if (!flush_stream (&c->streams[0]) || !flush_stream (&c->streams[1]) || is_closed (c))
         close_conn (c, false);
       c = next;
     }
@@ -179,15 +179,15 @@
   int callee = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   (void)loop;
   (void)events;
-  /* A refused loopback connect answers at once.  */
-  bool open = caller >= 0 && l->mode != LINK_REFUSES
+  /* A blocking connect is safe: on loopback it succeeds or fails at once.  */
+  bool open = caller >= 0 && l->mode != LINK_RESET
               && connect (callee, (struct sockaddr *)&l->target, sizeof l->target) == 0;
   if (!open)
     {
-      const struct linger hard = { .l_onoff = 1 };
+      const struct linger reset_on_close = { .l_onoff = 1 };
       if (caller >= 0)
         {
-          setsockopt (caller, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+          setsockopt (caller, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
           close (caller);
         }
       close (callee);
@@ -222,9 +222,9 @@
   ev_io_init (&l->accepting, on_accept, l->listener, EV_READ);
   l->accepting.data = l;
   ev_io_start (loop, &l->accepting);
-  ev_timer_init (&l->pump, on_pump, PUMP_S, PUMP_S);
-  l->pump.data = l;
-  ev_timer_start (loop, &l->pump);
+  ev_timer_init (&l->flush_timer, on_flush, FLUSH_INTERVAL_S, FLUSH_INTERVAL_S);
+  l->flush_timer.data = l;
+  ev_timer_start (loop, &l->flush_timer);
   return l;
 }
 
@@ -234,7 +234,7 @@
   struct proxy_conn *c;
   l->mode = mode;
   l->delay_ms = delay_ms;
-  while (mode == LINK_REFUSES && (c = LIST_FIRST (&l->conns)) != NULL)
+  while (mode == LINK_RESET && (c = LIST_FIRST (&l->conns)) != NULL)
     close_conn (c, true);
 }
 
@@ -245,7 +245,7 @@
   while ((c = LIST_FIRST (&l->conns)) != NULL)
     close_conn (c, false);
   ev_io_stop (l->loop, &l->accepting);
-  ev_timer_stop (l->loop, &l->pump);
+  ev_timer_stop (l->loop, &l->flush_timer);
   close (l->listener);
   free (l);
 }
--- a/tests/soak/soak_vm.c
+++ b/tests/soak/soak_vm.c
@@ -1,4 +1,4 @@
-/* Processes of the product: started, paused, stopped, killed and restarted.  */
+/* The VM processes under test: start, pause, stop, kill and restart.  */
 #include <fcntl.h>
 #include <signal.h>
 #include <stdio.h>
@@ -10,17 +10,17 @@
 #include "soak.h"
 
 #define ARG_BYTES 200
-#define MOST_ARGS 16
+#define MAX_ARGS 16
 
 struct arguments
 {
-  char text[MOST_ARGS][ARG_BYTES];
-  char *list[MOST_ARGS + 1];
+  char text[MAX_ARGS][ARG_BYTES];
+  char *list[MAX_ARGS + 1];
   int count;
 };
 
 static void __attribute__ ((format (printf, 2, 3)))
-add (struct arguments *a, const char *format, ...)
+add_argument (struct arguments *a, const char *format, ...)
 {
   va_list args;
   va_start (args, format);
@@ -37,31 +37,31 @@
   bool core = vm->role == VM_CORE;
   int host = core ? HOST_CORE (vm->number) : HOST_FRONT (vm->number);
   memset (a, 0, sizeof *a);
-  add (a, "%s/sassafras-platform", s->build);
-  add (a, "--role=%s", core ? "core" : "front");
-  add (a, "--vm=%s-%d", core ? "core" : "front", vm->number);
-  add (a, "--data-centre=z%d", vm->number);
-  add (a, "--ip=%s.%d", s->net, host);
-  add (a, "--ports=%d,%d", FIRST_PORT, FIRST_PORT + 9);
-  add (a, "--seeds=%s.1:%d,%s.2:%d,%s.3:%d", s->net, CONTROL_PORT, s->net, CONTROL_PORT, s->net,
-       CONTROL_PORT);
-  add (a, "--grace-s=6");
+  add_argument (a, "%s/sassafras-platform", s->build);
+  add_argument (a, "--role=%s", core ? "core" : "front");
+  add_argument (a, "--vm=%s-%d", core ? "core" : "front", vm->number);
+  add_argument (a, "--data-centre=z%d", vm->number);
+  add_argument (a, "--ip=%s.%d", s->net, host);
+  add_argument (a, "--ports=%d,%d", FIRST_PORT, FIRST_PORT + 9);
+  add_argument (a, "--seeds=%s.1:%d,%s.2:%d,%s.3:%d", s->net, CONTROL_PORT, s->net, CONTROL_PORT,
+                s->net, CONTROL_PORT);
+  add_argument (a, "--grace-s=6");
   if (core)
     {
-      add (a, "--bind=%s.%d", s->net, HOST_CORE_BEHIND (vm->number));
-      add (a, "--listen-control=%s.%d:%d", s->net, host, CONTROL_PORT);
-      add (a, "--first-start=%s", vm->first_start ? "true" : "false");
-      add (a, "--data-dir=%s/core-%d", s->folder, vm->number);
-      add (a, "--lease-ms=4000");
-      add (a, "--helped-from=%d", s->helped ? 1 : 130);
+      add_argument (a, "--bind=%s.%d", s->net, HOST_CORE_TARGET (vm->number));
+      add_argument (a, "--listen-control=%s.%d:%d", s->net, host, CONTROL_PORT);
+      add_argument (a, "--first-start=%s", vm->first_start ? "true" : "false");
+      add_argument (a, "--data-dir=%s/core-%d", s->folder, vm->number);
+      add_argument (a, "--lease-ms=4000");
+      add_argument (a, "--helped-from=%d", s->use_helpers ? 1 : 130);
       return;
     }
-  add (a, "--listen-customers=%s.%d:%d", s->net, host, CUSTOMER_PORT);
-  add (a, "--listen-ready=%s.%d:%d", s->net, host, CUSTOMER_PORT + 1);
+  add_argument (a, "--listen-customers=%s.%d:%d", s->net, host, CUSTOMER_PORT);
+  add_argument (a, "--listen-ready=%s.%d:%d", s->net, host, CUSTOMER_PORT + 1);
 }
 
 static void
-on_exit_of (struct ev_loop *loop, ev_child *w, int events)
+on_exited (struct ev_loop *loop, ev_child *w, int events)
 {
   struct soak_vm *vm = w->data;
   (void)events;
@@ -71,8 +71,8 @@
   bool clean = WIFEXITED (w->rstatus) && WEXITSTATUS (w->rstatus) == 0;
   bool killed = WIFSIGNALED (w->rstatus) && WTERMSIG (w->rstatus) == SIGKILL;
   if (!vm->ending || !(clean || killed))
-    violated (vm->soak, "%s-%d ended by itself, status %d", vm->role == VM_CORE ? "core" : "front",
-              vm->number, w->rstatus);
+    report_violation (vm->soak, "%s-%d ended unexpectedly, status %d",
+                      vm->role == VM_CORE ? "core" : "front", vm->number, w->rstatus);
   if (vm->up_at_ms == 0)
     vm->up_at_ms = vm->soak->now_ms + 1;
 }
@@ -99,13 +99,13 @@
             vm->role == VM_CORE ? "core" : "front", vm->number);
   vm->up_at_ms = 0;
   vm->ending = false;
-  /* Signals wait until the program is loaded and takes them up.  */
-  sigset_t waiting;
+  /* Keeps signals pending until the program has installed its handlers.  */
+  sigset_t blocked;
   sigset_t before;
-  sigemptyset (&waiting);
-  sigaddset (&waiting, SIGTERM);
-  sigaddset (&waiting, SIGHUP);
-  sigprocmask (SIG_BLOCK, &waiting, &before);
+  sigemptyset (&blocked);
+  sigaddset (&blocked, SIGTERM);
+  sigaddset (&blocked, SIGHUP);
+  sigprocmask (SIG_BLOCK, &blocked, &before);
   vm->pid = fork ();
   if (vm->pid == 0)
     {
@@ -116,7 +116,7 @@
       _exit (127);
     }
   sigprocmask (SIG_SETMASK, &before, NULL);
-  ev_child_init (&vm->exited, on_exit_of, vm->pid, 0);
+  ev_child_init (&vm->exited, on_exited, vm->pid, 0);
   vm->exited.data = vm;
   ev_child_start (vm->soak->loop, &vm->exited);
 }
@@ -150,7 +150,7 @@
   kill (vm->pid, SIGSTOP);
 }
 
-/* The disk is new when the process comes back; it joins then, it doesn't start a system.  */
+/* The process restarts with an empty disk, so it joins the system and must not bootstrap one.  */
 void
 vm_lose_disk (struct soak_vm *vm, int64_t down_ms)
 {
@@ -162,7 +162,7 @@
 }
 
 void
-vm_disturb (struct soak_vm *vm, enum link_mode mode, int64_t delay_ms, int64_t for_ms)
+vm_set_link_fault (struct soak_vm *vm, enum link_mode mode, int64_t delay_ms, int64_t for_ms)
 {
   for (int i = 0; i < 2; i++)
     if (vm->links[i])
@@ -173,7 +173,7 @@
 static void
 heal_links (struct soak_vm *vm)
 {
-  vm_disturb (vm, LINK_PASSES, 0, 0);
+  vm_set_link_fault (vm, LINK_FORWARD, 0, 0);
   vm->links_heal_at_ms = 0;
 }
 
--- a/tests/soak/soak_worker.c
+++ b/tests/soak/soak_worker.c
@@ -1,16 +1,15 @@
-/* A worker of the users' platform: it is called, reports itself, keeps a lease and lists its ends.
- */
+/* A simulated worker: executes orders, announces itself, keeps a lease and lists its ended runs. */
 #include <stdlib.h>
 #include <string.h>
 
 #include "clock.h"
 #include "soak.h"
 
-#define REPORT_EVERY_MS 300
-#define REPORT_LIMIT_MS 900
+#define REPORT_INTERVAL_MS 300
+#define REPORT_TIMEOUT_MS 900
 #define NAME_BYTES 64
-#define ROOM_MILLICORES 16000
-#define ROOM_MB 64000
+#define CAPACITY_MILLICORES 16000
+#define CAPACITY_MB 64000
 #define SERVICE "pool"
 
 struct run
@@ -27,22 +26,22 @@
   json_int_t number;
   char task[NAME_BYTES];
   int run;
-  const char *how;
-  bool void_end; /* the lease lapsed before it was acknowledged: it does not count */
+  const char *outcome;
+  bool invalid; /* the lease expired before the acknowledgement: not counted */
 };
 
-/* The highest run of a task that was stopped or has ended here: it and lower ones are refused.  */
-struct over
+/* The highest run of a task that was stopped or has ended here; it and lower runs are refused.  */
+struct task_history
 {
-  LIST_ENTRY (over) link;
+  LIST_ENTRY (task_history) link;
   char task[NAME_BYTES];
   int run;
 };
 
-/* A hold that waits for an end, or an order that is carried out late.  */
-struct waiting
+/* A long poll (hold) that waits for a run to end, or an order whose execution is delayed.  */
+struct pending_request
 {
-  LIST_ENTRY (waiting) link;
+  LIST_ENTRY (pending_request) link;
   struct http_request *request;
   int64_t until_ms;
 };
@@ -51,60 +50,60 @@
 {
   struct soak *soak;
   int number;
-  int life;
+  int incarnation;
   char id[NAME_BYTES];
   struct http_server *server; /* NULL while it is down */
   struct proxy_link *link;
-  int64_t up_at_ms, heal_at_ms, late_ms, late_until_ms;
+  int64_t up_at_ms, heal_at_ms, order_delay_ms, delay_until_ms;
   int64_t born_ms, lease_ms, next_report_ms;
   json_int_t fence, ends, sequence;
   int next_control;
-  unsigned reports_open;
+  unsigned reports_pending;
   LIST_HEAD (, run) runs;
   STAILQ_HEAD (, ended) ended;
-  LIST_HEAD (, over) over;
-  LIST_HEAD (, waiting) holds;
-  LIST_HEAD (, waiting) late;
+  LIST_HEAD (, task_history) histories;
+  LIST_HEAD (, pending_request) holds;
+  LIST_HEAD (, pending_request) delayed;
 };
 
-static struct over *
-find_over (struct soak_worker *w, const char *task)
+static struct task_history *
+find_history (struct soak_worker *w, const char *task)
 {
-  struct over *o;
-  LIST_FOREACH (o, &w->over, link)
+  struct task_history *o;
+  LIST_FOREACH (o, &w->histories, link)
   if (strcmp (o->task, task) == 0)
     return o;
   o = xcalloc (1, sizeof *o);
   snprintf (o->task, sizeof o->task, "%s", task);
-  LIST_INSERT_HEAD (&w->over, o, link);
+  LIST_INSERT_HEAD (&w->histories, o, link);
   return o;
 }
 
 static void
-note_over (struct soak_worker *w, const char *task, int run)
+record_ended_run (struct soak_worker *w, const char *task, int run)
 {
-  struct over *o = find_over (w, task);
+  struct task_history *o = find_history (w, task);
   if (run > o->run)
     o->run = run;
 }
 
 static void
-end_run (struct soak_worker *w, struct run *r, const char *how)
+end_run (struct soak_worker *w, struct run *r, const char *outcome)
 {
   struct ended *e = xcalloc (1, sizeof *e);
   e->number = ++w->ends;
   memcpy (e->task, r->task, sizeof e->task);
   e->run = r->run;
-  e->how = how;
+  e->outcome = outcome;
   STAILQ_INSERT_TAIL (&w->ended, e, link);
-  note_over (w, r->task, r->run);
-  task_ended (w->soak, r->task, strcmp (how, "done") == 0);
+  record_ended_run (w, r->task, r->run);
+  task_ended (w->soak, r->task, strcmp (outcome, "done") == 0);
   LIST_REMOVE (r, link);
   free (r);
 }
 
 static json_t *
-lists (const struct soak_worker *w)
+task_lists (const struct soak_worker *w)
 {
   const struct run *r;
   const struct ended *e;
@@ -114,13 +113,13 @@
   json_array_append_new (running, json_pack ("[s, i, s, i, i]", r->task, r->run, "", 50, 1000));
   STAILQ_FOREACH (e, &w->ended, link)
   json_array_append_new (finished,
-                         json_pack ("[I, s, i, s, s]", e->number, e->task, e->run, e->how, ""));
+                         json_pack ("[I, s, i, s, s]", e->number, e->task, e->run, e->outcome, ""));
   return json_pack ("{s:I, s:I, s:o, s:o}", "clock_ms", (json_int_t)w->soak->now_ms, "born",
                     (json_int_t)w->born_ms, "running", running, "finished", finished);
 }
 
 static json_int_t
-number (const json_t *body, const char *name)
+integer_field (const json_t *body, const char *name)
 {
   return json_integer_value (json_object_get (body, name));
 }
@@ -144,12 +143,12 @@
 }
 
 static const char *
-refusal (struct soak_worker *w, const json_t *body, const char *task, const struct run *r)
+refusal_reason (struct soak_worker *w, const json_t *body, const char *task, const struct run *r)
 {
-  int run = (int)number (body, "run");
-  if (number (body, "deadline_ms") < w->soak->now_ms)
+  int run = (int)integer_field (body, "run");
+  if (integer_field (body, "deadline_ms") < w->soak->now_ms)
     return "late";
-  if (run <= find_over (w, task)->run || (r && r->run != run))
+  if (run <= find_history (w, task)->run || (r && r->run != run))
     return "old";
   return NULL;
 }
@@ -160,9 +159,9 @@
   const char *task = json_string_value (json_object_get (body, "task"));
   const char *payload = json_string_value (json_object_get (body, "spec"));
   struct run *r = find_run (w, task);
-  const char *why = refusal (w, body, task, r);
-  if (number (body, "deadline_ms") > w->lease_ms)
-    w->lease_ms = number (body, "deadline_ms");
+  const char *why = refusal_reason (w, body, task, r);
+  if (integer_field (body, "deadline_ms") > w->lease_ms)
+    w->lease_ms = integer_field (body, "deadline_ms");
   if (why)
     {
       reply_clock (w, req, 409, why);
@@ -172,7 +171,7 @@
     {
       r = xcalloc (1, sizeof *r);
       snprintf (r->task, sizeof r->task, "%s", task);
-      r->run = (int)number (body, "run");
+      r->run = (int)integer_field (body, "run");
       r->end_ms = w->soak->now_ms + strtol (payload, NULL, 10);
       LIST_INSERT_HEAD (&w->runs, r, link);
       task_started (w->soak, r->task, r->run);
@@ -185,8 +184,8 @@
 {
   const char *task = json_string_value (json_object_get (body, "task"));
   struct run *r = find_run (w, task);
-  note_over (w, task, (int)number (body, "run"));
-  if (r && r->run <= number (body, "run"))
+  record_ended_run (w, task, (int)integer_field (body, "run"));
+  if (r && r->run <= integer_field (body, "run"))
     end_run (w, r, "stopped");
   reply_clock (w, req, 200, "");
 }
@@ -195,36 +194,36 @@
 hold (struct soak_worker *w, struct http_request *req, const json_t *body)
 {
   struct ended *e;
-  while ((e = STAILQ_FIRST (&w->ended)) != NULL && e->number <= number (body, "ack_cursor"))
+  while ((e = STAILQ_FIRST (&w->ended)) != NULL && e->number <= integer_field (body, "ack_cursor"))
     {
-      if (strcmp (e->how, "done") == 0 && !e->void_end)
-        task_end_noted (w->soak, e->task, e->run);
+      if (strcmp (e->outcome, "done") == 0 && !e->invalid)
+        task_end_acknowledged (w->soak, e->task, e->run);
       STAILQ_REMOVE_HEAD (&w->ended, link);
       free (e);
     }
-  if (number (body, "deadline_ms") > w->lease_ms)
-    w->lease_ms = number (body, "deadline_ms");
-  struct waiting *h = xcalloc (1, sizeof *h);
+  if (integer_field (body, "deadline_ms") > w->lease_ms)
+    w->lease_ms = integer_field (body, "deadline_ms");
+  struct pending_request *h = xcalloc (1, sizeof *h);
   h->request = req;
-  h->until_ms = w->soak->now_ms + number (body, "wait_ms");
+  h->until_ms = w->soak->now_ms + integer_field (body, "wait_ms");
   LIST_INSERT_HEAD (&w->holds, h, link);
 }
 
 static void
-carry_out (struct soak_worker *w, struct http_request *req)
+execute (struct soak_worker *w, struct http_request *req)
 {
-  const char *life = http_header (req, "Expect-Instance");
+  const char *expected_id = http_header (req, "Expect-Instance");
   struct status st;
   json_t *body = http_body_json (req, &st);
   if (!body)
     http_reply_status (req, &st);
-  else if (life && strcmp (life, w->id) != 0)
+  else if (expected_id && strcmp (expected_id, w->id) != 0)
     reply_clock (w, req, 421, "");
-  else if (number (body, "fence") < w->fence)
+  else if (integer_field (body, "fence") < w->fence)
     reply_clock (w, req, 409, "fence");
   else
     {
-      w->fence = number (body, "fence");
+      w->fence = integer_field (body, "fence");
       if (strstr (req->path, "run-start"))
         start (w, req, body);
       else if (strstr (req->path, "run-stop"))
@@ -241,22 +240,22 @@
 handle (void *arg, struct http_request *req)
 {
   struct soak_worker *w = arg;
-  if (w->soak->now_ms >= w->late_until_ms || strstr (req->path, "hold"))
+  if (w->soak->now_ms >= w->delay_until_ms || strstr (req->path, "hold"))
     {
-      carry_out (w, req);
+      execute (w, req);
       return;
     }
-  struct waiting *l = xcalloc (1, sizeof *l);
+  struct pending_request *l = xcalloc (1, sizeof *l);
   l->request = req;
-  l->until_ms = w->soak->now_ms + w->late_ms;
-  LIST_INSERT_HEAD (&w->late, l, link);
+  l->until_ms = w->soak->now_ms + w->order_delay_ms;
+  LIST_INSERT_HEAD (&w->delayed, l, link);
 }
 
 static void
 on_reported (void *arg, const struct http_answer *a)
 {
   struct soak_worker *w = arg;
-  w->reports_open--;
+  w->reports_pending--;
   if (a->code != 200)
     w->next_control++;
 }
@@ -271,9 +270,9 @@
   snprintf (zone, sizeof zone, "z%d", w->number % SOAK_CORES + 1);
   json_t *body = json_pack ("{s:s, s:s, s:s, s:s, s:{s:i, s:i}, s:[s, s], s:I, s:I, s:I}",
                             "service", SERVICE, "address", address, "zone", zone, "state", "ready",
-                            "capacity", "cpu", ROOM_MILLICORES, "mem_mb", ROOM_MB, "labels", "a",
-                            "r1-1", "clock_ms", (json_int_t)w->soak->now_ms, "seq", ++w->sequence,
-                            "born", (json_int_t)w->born_ms);
+                            "capacity", "cpu", CAPACITY_MILLICORES, "mem_mb", CAPACITY_MB, "labels",
+                            "a", "r1-1", "clock_ms", (json_int_t)w->soak->now_ms, "seq",
+                            ++w->sequence, "born", (json_int_t)w->born_ms);
   char *text = json_dumps (body, JSON_COMPACT);
   snprintf (url, sizeof url, "http://%s.%d:%d/sassafrasstall/instances/%s", w->soak->net,
             HOST_CORE (w->next_control % SOAK_CORES + 1), CONTROL_PORT, w->id);
@@ -281,22 +280,22 @@
                                   .url = url,
                                   .body = text,
                                   .body_len = strlen (text),
-                                  .timeout_ms = REPORT_LIMIT_MS,
+                                  .timeout_ms = REPORT_TIMEOUT_MS,
                                   .done = on_reported,
                                   .done_arg = w };
-  w->reports_open++;
+  w->reports_pending++;
   http_client_send (w->soak->client, &call);
   free (text);
   json_decref (body);
 }
 
 static void
-begin_life (struct soak_worker *w)
+start_incarnation (struct soak_worker *w)
 {
   struct status st;
   char address[SOAK_ADDRESS_BYTES];
-  soak_address (w->soak, HOST_WORKER_BEHIND (w->number), 8080, address);
-  snprintf (w->id, sizeof w->id, "w%d-%d", w->number, ++w->life);
+  soak_address (w->soak, HOST_WORKER_TARGET (w->number), 8080, address);
+  snprintf (w->id, sizeof w->id, "w%d-%d", w->number, ++w->incarnation);
   w->up_at_ms = 0;
   w->born_ms = clock_wall_ms ();
   w->lease_ms = w->fence = w->ends = w->sequence = 0;
@@ -321,34 +320,34 @@
   w->next_control = n;
   STAILQ_INIT (&w->ended);
   soak_address (s, HOST_WORKER (n), 8080, listen_address);
-  soak_address (s, HOST_WORKER_BEHIND (n), 8080, target);
+  soak_address (s, HOST_WORKER_TARGET (n), 8080, target);
   w->link = proxy_open (s->loop, listen_address, target);
-  begin_life (w);
+  start_incarnation (w);
   return w;
 }
 
 static void
-drop_waiting (struct waiting *first)
+free_pending_requests (struct pending_request *first)
 {
   while (first)
     {
-      struct waiting *next = LIST_NEXT (first, link);
+      struct pending_request *next = LIST_NEXT (first, link);
       free (first);
       first = next;
     }
 }
 
-/* All that runs is gone, with the ends that nobody has taken note of.  */
+/* Discards the active runs and the ended runs that were not acknowledged.  */
 static void
-end_life (struct soak_worker *w)
+end_incarnation (struct soak_worker *w)
 {
   struct run *r;
   struct ended *e;
-  struct over *o;
-  drop_waiting (LIST_FIRST (&w->holds));
-  drop_waiting (LIST_FIRST (&w->late));
+  struct task_history *o;
+  free_pending_requests (LIST_FIRST (&w->holds));
+  free_pending_requests (LIST_FIRST (&w->delayed));
   LIST_INIT (&w->holds);
-  LIST_INIT (&w->late);
+  LIST_INIT (&w->delayed);
   http_server_close (w->server);
   w->server = NULL;
   while ((r = LIST_FIRST (&w->runs)) != NULL)
@@ -362,7 +361,7 @@
       STAILQ_REMOVE_HEAD (&w->ended, link);
       free (e);
     }
-  while ((o = LIST_FIRST (&w->over)) != NULL)
+  while ((o = LIST_FIRST (&w->histories)) != NULL)
     {
       LIST_REMOVE (o, link);
       free (o);
@@ -374,7 +373,7 @@
 {
   if (!w->server)
     return;
-  end_life (w);
+  end_incarnation (w);
   w->up_at_ms = w->soak->now_ms + down_ms;
 }
 
@@ -382,20 +381,20 @@
 worker_close (struct soak_worker *w)
 {
   if (w->server)
-    end_life (w);
+    end_incarnation (w);
   proxy_close (w->link);
   free (w);
 }
 
 void
-worker_delay (struct soak_worker *w, int64_t orders_late_ms, int64_t for_ms)
+worker_delay (struct soak_worker *w, int64_t order_delay_ms, int64_t for_ms)
 {
-  w->late_ms = orders_late_ms;
-  w->late_until_ms = w->soak->now_ms + for_ms;
+  w->order_delay_ms = order_delay_ms;
+  w->delay_until_ms = w->soak->now_ms + for_ms;
 }
 
 void
-worker_disturb (struct soak_worker *w, enum link_mode mode, int64_t delay_ms, int64_t for_ms)
+worker_set_link_fault (struct soak_worker *w, enum link_mode mode, int64_t delay_ms, int64_t for_ms)
 {
   proxy_set (w->link, mode, delay_ms);
   w->heal_at_ms = w->soak->now_ms + for_ms;
@@ -404,22 +403,22 @@
 void
 worker_heal (struct soak_worker *w)
 {
-  proxy_set (w->link, LINK_PASSES, 0);
+  proxy_set (w->link, LINK_FORWARD, 0);
   w->heal_at_ms = 0;
-  w->late_until_ms = 0;
+  w->delay_until_ms = 0;
   if (!w->server)
-    begin_life (w);
+    start_incarnation (w);
 }
 
-/* The platform's rule: an end counts unless the lease lapsed between it and its acknowledgement. */
+/* By the platform's rules an end is void if the lease expires before its acknowledgement.  */
 static void
-void_ends (struct soak_worker *w)
+invalidate_ends (struct soak_worker *w)
 {
   struct ended *e;
   if (w->soak->now_ms <= w->lease_ms)
     return;
   STAILQ_FOREACH (e, &w->ended, link)
-  e->void_end = true;
+  e->invalid = true;
 }
 
 static void
@@ -438,20 +437,20 @@
 }
 
 static void
-answer_waiting (struct soak_worker *w)
+answer_due_requests (struct soak_worker *w)
 {
-  struct waiting *h;
-  struct waiting *next;
+  struct pending_request *h;
+  struct pending_request *next;
   for (h = LIST_FIRST (&w->holds); h; h = next)
     {
       next = LIST_NEXT (h, link);
       if (w->soak->now_ms < h->until_ms && STAILQ_EMPTY (&w->ended))
         continue;
-      http_reply_json (h->request, 200, lists (w));
+      http_reply_json (h->request, 200, task_lists (w));
       LIST_REMOVE (h, link);
       free (h);
     }
-  for (h = LIST_FIRST (&w->late); h; h = next)
+  for (h = LIST_FIRST (&w->delayed); h; h = next)
     {
       next = LIST_NEXT (h, link);
       if (w->soak->now_ms < h->until_ms)
@@ -459,7 +458,7 @@
       struct http_request *req = h->request;
       LIST_REMOVE (h, link);
       free (h);
-      carry_out (w, req);
+      execute (w, req);
     }
 }
 
@@ -468,18 +467,18 @@
 {
   if (w->heal_at_ms && w->soak->now_ms >= w->heal_at_ms)
     {
-      proxy_set (w->link, LINK_PASSES, 0);
+      proxy_set (w->link, LINK_FORWARD, 0);
       w->heal_at_ms = 0;
     }
   if (!w->server && w->soak->now_ms >= w->up_at_ms)
-    begin_life (w);
+    start_incarnation (w);
   if (!w->server)
     return;
-  void_ends (w);
+  invalidate_ends (w);
   end_due_runs (w);
-  answer_waiting (w);
+  answer_due_requests (w);
   if (w->soak->now_ms < w->next_report_ms)
     return;
-  w->next_report_ms = w->soak->now_ms + REPORT_EVERY_MS;
+  w->next_report_ms = w->soak->now_ms + REPORT_INTERVAL_MS;
   report (w);
 }
