--- a/spec/check_lists.sh
+++ b/spec/check_lists.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against two winners for one version, a repeat with another answer, and a version going back.
+# Guards against two winners for one version, different answers to a retry, a decreasing version.
 # Usage: spec/check_lists.sh WORK-DIR
 set -euo pipefail
 source "$(dirname "$0")/check_model.bash"
--- a/spec/check_model.bash
+++ b/spec/check_model.bash
@@ -1,7 +1,7 @@
 # Sourced by check_<name>.sh.  check_model NAME WORK-DIR MUTANT...
 # Searches the whole state space of NAME.pml, which must pass, and of each mutant (the same model
 # with one rule removed by -DMUTANT), which must be rejected with a counterexample.  The limits are
-# fixed, so that the verdict does not depend on the machine's load.
+# fixed, so that the result does not depend on the load of the machine.
 
 DEPTH=${DEPTH:-4000000}   # steps; a truncated search fails the check
 MEMORY_MB=1900            # pan stops with an incomplete search beyond it
@@ -17,7 +17,7 @@
     || { cat "$dir/spin.log"; echo "FAILED: $model does not build"; return 1; }
 }
 
-# -E: the bounded models end where nothing is left to do, which is not an error.
+# -E: ignores invalid end states; the bounded models end when no step is left, which is no error.
 run_pan() {
   (cd "$1" && ./pan -E -m"$DEPTH" -w22 >pan.log 2>&1) || true
 }
@@ -35,7 +35,7 @@
 
 must_fail() {
   local log=$1/pan.log
-  # An index out of range is also reported as a violated assertion, but is a fault of the model.
+  # spin reports an index out of range as a violated assertion too, but that is a bug in the model.
   if ! grep -qE 'errors: [1-9]' "$log" || ! grep -q 'assertion violated' "$log" \
     || grep -q 'invalid array index' "$log" || ! ls "$1"/*.trail >/dev/null 2>&1; then
     cat "$log"
--- a/spec/check_requests.sh
+++ b/spec/check_requests.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against unrepeatable work that runs twice and against a wrong "not run".
+# Guards against unrepeatable work that runs twice and against a false "not run" answer.
 # Usage: spec/check_requests.sh WORK-DIR
 set -euo pipefail
 source "$(dirname "$0")/check_model.bash"
--- a/spec/check_tasks.sh
+++ b/spec/check_tasks.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against a task that runs in two places, is resumed by two cells, or is lost on the way.
+# Guards against a task that runs in two places, is resumed by two cells, or is lost in a hand-off.
 # Usage: spec/check_tasks.sh WORK-DIR
 set -euo pipefail
 source "$(dirname "$0")/check_model.bash"
--- a/spec/lists.pml
+++ b/spec/lists.pml
@@ -1,14 +1,13 @@
 /* lists: edits of the operators' lists (src/registry*.c, src/operator_api.c).
 
    Two operators make two edits each.  An edit names the version it replaces, which the operator read
-   from any VM, perhaps a stale one.  Until it has an answer, the operator repeats the command with
-   its request id through any VM.  A command may be lost or may be committed although its answer is
-   lost; both is what a change of the leader does.  The order of committed commands is the registry
-   log (checked by raft.pml).  Three VMs apply it one entry at a time, or load a snapshot of another
-   VM, and answer.
+   from any VM, possibly a stale one.  Until it is answered, the operator retries the command with
+   its request id through any VM.  A command may be lost, or committed while its answer is lost; a
+   leader change can cause both.  Committed commands are ordered by the registry log (checked by
+   raft.pml).  Three VMs apply it one entry at a time, or load a snapshot of another VM, and answer.
 
-   Rules checked: one edit wins for each version; every answer to one request id is the same; the
-   version of a VM never goes back.  */
+   Rules checked: one edit wins for each version; all answers to one request id are equal; the
+   version of a VM never decreases.  */
 
 #define VMS 3
 #define EDITS 4 /* request ids; operator 0 makes 0 and 1, operator 1 makes 2 and 3 */
@@ -17,7 +16,7 @@
 #endif
 
 #define NOT_MADE 0
-#define OPEN 1     /* made and perhaps repeated, no answer yet */
+#define OPEN 1     /* made, possibly retried, no answer yet */
 #define ANSWERED 2
 
 #define CONFLICT 1           /* answers: the version check failed */
@@ -35,9 +34,9 @@
 byte entries;
 byte state[EDITS];
 byte expected[EDITS];
-byte first[EDITS];      /* first answer any VM computed */
+byte first[EDITS];      /* first answer that any VM computed */
 byte winner[EDITS + 1]; /* edit that replaced this version, plus 1 */
-byte a;                 /* scratch */
+byte a;                 /* temporary */
 
 #ifdef NO_REQUEST_IDS
 #define KNOWN(v, r) false
@@ -58,7 +57,7 @@
   a = ACCEPTED (vm[v].version)
 }
 
-/* VM V applies its next entry, which carries edit R.  */
+/* VM V applies its next entry, which contains edit R.  */
 inline apply (v, r)
 {
   if
@@ -100,7 +99,7 @@
 #define VM(v, w, x) \
   APPLY (v, 0) APPLY (v, 1) APPLY (v, 2) APPLY (v, 3) LOAD (v, w) LOAD (v, x)
 
-/* The operator reads the version of a VM and makes its next edit; the earlier one must be answered. */
+/* The operator reads the version of a VM and makes its next edit once the previous is answered.  */
 #define MAKE(r, before, v) \
   :: d_step { state[r] == NOT_MADE && before -> state[r] = OPEN; expected[r] = vm[v].version }
 #define EDIT(r, before) \
--- a/spec/permits.pml
+++ b/spec/permits.pml
@@ -1,45 +1,45 @@
 /* permits: start permits of one cell (src/permit.c, src/registry*.c, src/scheduler*.c).
 
-   Two registry nodes take turns as leader, any number of times; the one that lost leadership may go
-   on for ever without knowing it.  One node of the cell holds permits and may be a paused or cut-off
-   former cell leader; a second holder needs no place in the model, because nothing that the rules
-   use is shared between holders.  One worker polls and gets a start command.  Messages take any time
-   or are lost; any process may pause between any two steps.  Time is a tick that may come at any
-   point; every time is kept as what is left or has passed, so runs have no end.
+   Leadership alternates between two registry nodes any number of times; a deposed leader may remain
+   unaware of it indefinitely.  One node of the cell holds permits and may be a paused or isolated
+   former cell leader; a second holder is not modelled, because the rules use no state that holders
+   share.  One worker polls and gets a start command.  Messages are delayed arbitrarily or lost; any
+   process may pause between any two steps.  A clock tick may occur at any point; times are stored
+   as remaining or elapsed ticks, so executions are unbounded.
 
    Rules checked: a start never comes more than LIFE after operators took the data centre out, and
    never after the registry reported the out command as in force.  */
 
 #ifndef LIFE
-#define LIFE 2 /* life of a permit in ticks */
+#define LIFE 2 /* lifetime of a permit in ticks */
 #endif
 
-/* Registry node.  `view_out` is the data centre's state as it has applied it.  */
+/* Registry node.  `view_out` is the state of the data centre that it has applied.  */
 typedef granter
 {
-  bool leads;     /* believes that it leads */
+  bool leads;     /* believes that it is the leader */
   bool view_out;
-  bool asking;    /* a quorum round is under way that began while this node was the leader */
-  byte round_age; /* since it began, at most LIFE */
+  bool asking;    /* a quorum round that began while this node was the leader is pending */
+  byte round_age; /* ticks since it began, at most LIFE */
   byte confirmed; /* LIFE minus the age of the last confirmed round, 0: none */
 };
 
 granter g[2];
-byte leader;    /* the true leader */
-byte inherited; /* its wait until earlier leaders' permits have expired */
-byte granted;   /* until the permits it granted to the holder have expired */
+byte leader;    /* the actual leader */
+byte inherited; /* ticks until permits of earlier leaders have expired */
+byte granted;   /* ticks until the permits it granted to the holder have expired */
 bool out;       /* committed state of the data centre */
-byte out_age;   /* since it was accepted, at most LIFE + 1 */
-bool in_force;  /* reported */
+byte out_age;   /* ticks since it was accepted, at most LIFE + 1 */
+bool in_force;  /* the out command was reported as in force */
 bool reported;  /* the holder's report that it has stopped has been committed */
-byte left;      /* of the permit held */
-byte ask;       /* 0: no request under way; 1: request, 2: grant, on its way */
-byte ask_age;   /* since it was asked for, at most LIFE */
-byte life;      /* in the grant */
-bool stopped;   /* the holder gave its permit up because the data centre is out */
-bool ignored;   /* answers to the request under way are ignored */
-byte poll;      /* 0: none; 1 + age: on its way; HANDLED + transit time: handled */
-byte start;     /* 0: none, else 1 + what is left of its validity */
+byte left;      /* remaining ticks of the held permit */
+byte ask;       /* 0: no request pending; 1: request in flight; 2: grant in flight */
+byte ask_age;   /* ticks since the request, at most LIFE */
+byte life;      /* lifetime in the grant */
+bool stopped;   /* the holder dropped its permit because the data centre is out */
+bool ignored;   /* answers to the pending request are ignored */
+byte poll;      /* 0: none; 1 + age: in flight; HANDLED + transit time: handled */
+byte start;     /* 0: none, else 1 + remaining validity */
 
 #define HANDLED 16
 #define ON_ITS_WAY (poll > 0 && poll < HANDLED)
@@ -117,7 +117,7 @@
 #define LIFE_TO_GRANT(i) g[i].confirmed
 #endif
 
-/* Registry node I grants, or refuses, which ends the request.  */
+/* Registry node I grants or refuses the request; a refusal ends it.  */
 inline grant (i)
 {
   if
@@ -148,8 +148,8 @@
   ignored = (ask != 0)
 }
 
-/* A start command that was sent may still be carried out until its validity ends, so only then may
-   the holder report that it has stopped.  */
+/* A sent start command may still be executed until its validity ends; only then may the holder
+   report that it has stopped.  */
 #ifdef REPORT_STOP_EARLY
 #define MAY_REPORT true
 #else
@@ -162,8 +162,8 @@
 #define ALL_EXPIRED (inherited == 0 && (granted == 0 || reported))
 #endif
 
-/* valid = (now - time the poll was handled) + permit left, counted from when the poll was sent;
-   what is left of it now is the permit's rest minus the poll's transit.  */
+/* validity = (now - time the poll was handled) + remaining permit, counted from when the poll was
+   sent; what remains of it now is the remaining permit minus the transit time of the poll.  */
 inline send_start ()
 {
   start = 1 + (left > poll - HANDLED -> left - (poll - HANDLED) : 0);
--- a/spec/raft.pml
+++ b/spec/raft.pml
@@ -1,11 +1,10 @@
 /* raft: elections, commits and membership changes of one group (src/raft*.c).
 
    Three nodes, TERMS terms, logs of LOG entries.  A node may stop for any time and may campaign
-   even while it leads, which is what a crash and restart amounts to: the role is lost; term, vote
-   and log are durable.  Sent messages stay in
-   the history of their term, so a receiver may act on any of them late, more than once or never:
-   vote requests and votes in `asked` and `votes`, appends as prefixes of what the term's leader had
-   in its log, answers to appends in `ack`.
+   even while it is the leader, which is equivalent to a crash and restart: the role is lost; term,
+   vote and log are durable.  Sent messages stay in the history of their term, so a receiver may
+   process any of them late, more than once or never: vote requests and votes in `asked` and
+   `votes`, appends as prefixes of the log of the term's leader, answers to appends in `ack`.
 
    An entry is the term that wrote it and, for a membership change, the set of voters.
    Not modelled: pre-vote, check-quorum, learners, store ids, snapshots, leadership transfer. They
@@ -18,7 +17,7 @@
 #define LOG 2
 #endif
 #define N 3
-#define ALL 7 /* the first set of voters */
+#define ALL 7 /* initial set of voters */
 
 #define FOLLOWER 0
 #define CANDIDATE 1
@@ -40,29 +39,29 @@
   byte log[LOG];
 };
 
-/* What was sent in one term.  Votes and requests are kept for each candidate.  */
+/* Messages sent in one term.  Votes and vote requests are stored per candidate.  */
 typedef history
 {
   byte leader; /* node + 1 */
-  byte commit; /* of that leader */
-  byte size;    /* of that leader's log, which only grows within its term */
+  byte commit; /* commit index of that leader */
+  byte size;    /* log size of that leader, which only grows within its term */
   byte log[LOG];
-  byte ack[N];   /* entries each node has stored and acknowledged */
+  byte ack[N];   /* entries that each node has stored and acknowledged */
   byte asked[N]; /* 0: no vote request; else 1 + last term * (LOG + 1) + length */
-  byte votes[N]; /* granted votes as a set */
+  byte votes[N]; /* set of granted votes */
 };
 
 node n[N];
 history h[TERMS + 1];
 byte j; /* scratch, 0 between steps */
-byte committed[LOG];    /* what any leader has committed, 0: nothing yet */
-byte committed_in[LOG]; /* lowest term in which that was done */
+byte committed[LOG];    /* entries that any leader has committed, 0: none */
+byte committed_in[LOG]; /* lowest term in which each was committed */
 
 #define LAST_TERM(i) (n[i].size == 0 -> 0 : TERM_OF (n[i].log[n[i].size - 1]))
 #define VOTERS(i) \
   ((n[i].size > 1 && VOTERS_OF (n[i].log[1])) -> VOTERS_OF (n[i].log[1]) : \
     ((n[i].size > 0 && VOTERS_OF (n[i].log[0])) -> VOTERS_OF (n[i].log[0]) : ALL))
-/* Position of the membership change in force, 0: none.  */
+/* Position of the active membership change, 0: none.  */
 #define CHANGE_AT(i) \
   ((n[i].size > 1 && VOTERS_OF (n[i].log[1])) -> 2 : \
     ((n[i].size > 0 && VOTERS_OF (n[i].log[0])) -> 1 : 0))
@@ -74,8 +73,8 @@
   h[t].votes[c] = 0
 }
 
-/* Nothing that was sent in a term below every node's term can have an effect any more; forgetting
-   it merges states that differ only in that.  */
+/* Messages of a term below every node's term have no effect any more; clearing them merges states
+   that differ only in them.  */
 inline forget_past ()
 {
   j = 1;
@@ -123,7 +122,7 @@
 #define LOG_IS_CURRENT(i, request) (request >= 1 + LAST_TERM (i) * (LOG + 1) + n[i].size)
 #endif
 
-/* Node I acts on the request of candidate C in term T.  */
+/* Node I handles the vote request of candidate C in term T.  */
 inline answer_vote (i, c, t)
 {
   adopt_term (i, t);
@@ -147,7 +146,7 @@
 inline win (i)
 {
   j = n[i].term;
-  assert (h[j].leader == 0); /* one leader for a term */
+  assert (h[j].leader == 0); /* at most one leader per term */
   n[i].role = LEADER;
   h[j].leader = i + 1;
   h[j].size = n[i].size;
@@ -169,8 +168,8 @@
   j = 0
 }
 
-/* Node I stores entry K (from 1) of term T's leader, or drops the message when the entry before it
-   differs.  K 0 is a heartbeat.  */
+/* Node I stores entry K (from 1) of term T's leader, or drops the message if the preceding entry
+   differs.  K = 0 is a heartbeat.  */
 inline store (i, t, k)
 {
   adopt_term (i, t);
@@ -241,7 +240,7 @@
   (h[n[i].term].commit > 0 && TERM_OF (h[n[i].term].log[h[n[i].term].commit - 1]) == n[i].term)
 #define MAY_CHANGE(i) \
   (LEADS (i) && n[i].size < LOG && CHANGE_AT (i) <= h[n[i].term].commit && COMMITTED_OWN (i))
-/* The nodes are alike, so the first to act may be called 0 and the second 1.  */
+/* Symmetry reduction: the first node to act is numbered 0 and the second 1.  */
 #define MAY_ACT(i) (i == 0 || (i == 1 && n[0].term) || (i == 2 && n[1].term))
 #define CAMPAIGN(i) \
   :: d_step { MAY_ACT (i) && n[i].term < TERMS && (VOTERS (i) & BIT (i)) -> campaign (i) }
--- a/spec/requests.pml
+++ b/spec/requests.pml
@@ -1,12 +1,12 @@
 /* requests: unrepeatable requests (src/proxy*.c, src/intent_store.c, src/cell_intent.c).
 
-   One request key, repeated any number of times through two entries.  The entry has the intent
+   One request key, retried any number of times through two entries.  An entry has the intent
    committed in the home cell, sends the request to a runner and commits the outcome.  Entries crash
-   at any point.  Proposals and tries that are under way stay so when their entry crashes or gives
-   up: a proposal may be committed late or never, a try may be executed late or never.
+   at any point.  Proposals and tries stay pending when their entry crashes or abandons them: a
+   proposal may be committed late or never, a try may be executed late or never.
 
-   Rules checked: the work is executed at most once; a caller that is told "not run" can rely on it,
-   then and later.  */
+   Rules checked: the work is executed at most once; an answer "not run" is true and stays
+   true.  */
 
 #define ENTRIES 2
 #define MAX_LATE 2 /* abandoned tries that may still be executed */
@@ -14,22 +14,22 @@
 #define IDLE 0
 #define ASKING 1 /* the intent is proposed */
 #define MAY_SEND 2
-#define SENT 3   /* bytes of the request have left */
+#define SENT 3   /* bytes of the request were sent */
 #define ENDING 4 /* the outcome is proposed */
 
 #define NONE 0
 #define BEGUN 1
 #define RAN 2     /* finished: the work ran; the answer is recorded */
 #define NOT_RUN 3 /* finished: it did not run */
-#define UNKNOWN 4 /* finished: nobody knows */
+#define UNKNOWN 4 /* finished: whether it ran is unknown */
 
 byte entry[ENTRIES];
-byte outcome[ENTRIES]; /* to be recorded, while ENDING */
-byte try[ENTRIES];     /* 0: none, 1: under way, 2: executed, 3: refused by the runner, not run */
+byte outcome[ENTRIES]; /* outcome to be recorded, while ENDING */
+byte try[ENTRIES];     /* 0: none, 1: pending, 2: executed, 3: refused by the runner, not run */
 byte intent;           /* committed in the home cell */
-bool late_begin;       /* an abandoned proposal of the intent is under way */
-byte late_end;         /* an abandoned proposal of an outcome, 0: none */
-byte late_tries;       /* abandoned tries under way */
+bool late_begin;       /* an abandoned proposal of the intent is pending */
+byte late_end;         /* outcome in a pending abandoned proposal, 0: none */
+byte late_tries;       /* number of pending abandoned tries */
 byte executed;
 bool told_not_run;
 
@@ -61,7 +61,7 @@
   try[i] = 0
 }
 
-/* A crash, or giving up without knowing.  */
+/* The entry crashes, or abandons the request with an unknown outcome.  */
 inline abandon (i)
 {
   late_begin = late_begin || entry[i] == ASKING;
@@ -70,7 +70,7 @@
   go_idle (i)
 }
 
-/* The home cell commits the intent of entry I and the entry learns the result.  */
+/* The home cell commits the intent of entry I and sends it the result.  */
 inline begin (i)
 {
   if
@@ -123,7 +123,7 @@
 #endif
 
 /* The intent can't be committed now.  An earlier attempt through another entry may have run the
-   work, so "not run" would be wrong for the key; the caller is told "unknown, repeat".  */
+   work, so "not run" could be wrong for the key; the answer is "unknown, retry".  */
 #ifdef NOT_RUN_WHEN_UNREACHABLE
 #define UNREACHABLE(i) :: d_step { entry[i] == ASKING -> tell_not_run (); go_idle (i) }
 #else
--- a/spec/tasks.pml
+++ b/spec/tasks.pml
@@ -1,19 +1,19 @@
 /* tasks: one task, its owner cell A and a second cell B (src/cell*.c, src/scheduler*.c).
 
    A has two workers with leases, B has one.  The task may be evicted, checkpointed and resumed,
-   lost with its worker, handed to B, or taken over by B's standby copy after the registry has closed
-   A's cell epoch.  A's leader changes at any time; A may be cut off for any time.  Messages between
-   cells and to and from A's workers are late, repeated or lost.  Both logs are reliable
-   (raft.pml).  Times are what is left; a tick may come at any point, so runs have no end.
+   lost with its worker, handed to B, or taken over by B's standby copy after the registry closed A's
+   cell epoch.  A's leader changes at any time; A may be isolated for any time.  Messages between
+   cells and to and from A's workers are delayed, duplicated or lost.  Both logs are reliable
+   (raft.pml).  Times are remaining ticks; a tick may occur at any point, so runs are unbounded.
 
    Rules checked: the task runs in at most one place; only one cell may resume it; it is not lost.
    Not modelled: worker crashes, hand-back from B, tasks without a standby copy.  */
 
-#define LEASE 2  /* of a worker, in ticks */
-#define PERMIT 1 /* start permit of A */
-#define GRACE 2  /* how long a cut-off A goes on renewing */
+#define LEASE 2  /* lease of a worker in ticks */
+#define PERMIT 1 /* start permit of A in ticks */
+#define GRACE 2  /* ticks for which an isolated A still renews leases */
 #ifndef MAX_EPOCH
-#define MAX_EPOCH 3 /* epochs A may use up */
+#define MAX_EPOCH 3 /* number of epochs that A may use */
 #endif
 
 /* States of the task in A's and in B's log.  */
@@ -28,31 +28,31 @@
 
 typedef worker
 {
-  byte runs;   /* epoch, 0: nothing */
-  byte lease;  /* rest, while it runs */
-  byte report; /* 2 * epoch + done, 0: none; repeated until it is answered */
+  byte runs;   /* epoch of the run, 0: none */
+  byte lease;  /* remaining ticks while it runs */
+  byte report; /* 2 * epoch + done, 0: none; resent until it is answered */
   byte seen;   /* highest epoch that ran here */
-  bool poll;   /* a poll is on its way */
-  byte rest;   /* of the lease that the answer to it may grant */
+  bool poll;   /* a poll is in flight */
+  byte rest;   /* lease that the answer to the poll may still grant */
   byte polled; /* report in the poll */
-  byte start;  /* epoch of a start command on its way, 0: none */
+  byte start;  /* epoch of the start command in flight, 0: none */
 };
 
-worker w[2];   /* of A */
+worker w[2];   /* workers of A */
 byte a = PENDING;
 byte a_epoch = 1;
 byte a_worker;
-byte silence;  /* until A's leader counts that worker as lost */
-bool a_closed; /* A has applied that its cell epoch was closed */
+byte silence;  /* ticks until A's leader considers that worker lost */
+bool a_closed; /* A has applied the closing of its cell epoch */
 bool stop_closed; /* the task is being stopped for that reason */
-byte contact;  /* rest of A's permit plus GRACE; a permit is left while it is above GRACE */
+byte contact;  /* remaining permit of A plus GRACE; the permit is valid while above GRACE */
 bool closed;   /* the registry has closed A's cell epoch */
-byte wait;     /* until every lease under the closed epoch has expired */
+byte wait;     /* ticks until every lease under the closed epoch has expired */
 byte b = NONE;
 bool b_old;    /* the standby copy belongs to the closed cell epoch */
 byte answered; /* B's record of the last offer: 2 * epoch + accepted */
-byte offer;    /* epoch of an offer on its way */
-byte answer;   /* on its way: 2 * epoch + accepted */
+byte offer;    /* epoch of the offer in flight, 0: none */
+byte answer;   /* in flight: 2 * epoch + accepted */
 
 #define B_OWNS (b == PENDING || b == PLACED || b == DONE)
 #define LESS(x, y) (x < y -> x : y)
@@ -60,7 +60,7 @@
 
 inline check ()
 {
-  assert ((w[0].runs != 0) + (w[1].runs != 0) + (b == PLACED) <= 1); /* one place */
+  assert ((w[0].runs != 0) + (w[1].runs != 0) + (b == PLACED) <= 1); /* runs in one place */
   assert (!(B_OWNS && (a == PENDING || a == PLACED) && (!closed || a_closed))); /* one owner */
   assert (a != MOVED || B_OWNS) /* not lost */
 }
@@ -72,7 +72,7 @@
   w[i].lease = 0
 }
 
-/* A start command is valid for the rest of the permit, one tick.  */
+/* A start command is valid for the remaining permit, one tick.  */
 inline tick_worker (i)
 {
   DOWN (w[i].lease);
@@ -93,7 +93,7 @@
   DOWN (wait)
 }
 
-/* The task is off its worker.  A task whose cell epoch was closed goes to the cell of the copy.  */
+/* The task has left its worker; if its cell epoch was closed, it moves to the cell of the copy.  */
 #define FREED (a_closed && stop_closed -> OFFERED : PENDING)
 
 inline freed ()
@@ -108,7 +108,7 @@
 #define OWN_REPORT(i) (w[i].polled / 2 == a_epoch && a_worker == i)
 #endif
 
-/* A task that is being stopped because its cell epoch was closed keeps no lease: the copy may run. */
+/* Don't renew a task that is stopped because its cell epoch was closed: the copy may run.  */
 #ifdef CLOSED_TASK_IS_RENEWED
 #define RENEWABLE(i) true
 #else
@@ -122,7 +122,7 @@
   w[i].polled = 0
 }
 
-/* The leader's part.  The log records the report before the answer tells the worker to drop it.  */
+/* The leader commits the report before its answer tells the worker to drop it.  */
 inline handle_poll (i)
 {
   silence = (a_worker == i -> LEASE : silence);
@@ -139,7 +139,7 @@
   fi
 }
 
-/* An answer that takes longer only leaves less of the lease, so it may as well arrive at once.  */
+/* A delayed answer only shortens the lease, so answers are delivered at once in the model.  */
 inline answer_poll (i)
 {
   handle_poll (i);
@@ -162,8 +162,8 @@
 #define NEW_LEADER_WAIT LEASE
 #endif
 
-/* A new leader knows of no permit, so it must not renew tasks with a copy before it got one: in a
-   cell that is cut off each change of the leader would give them GRACE again.  */
+/* A new leader has no permit and must not renew tasks with a copy before it gets one; otherwise
+   each leader change in an isolated cell would extend them by another GRACE.  */
 #ifdef NEW_LEADER_RENEWS
 #define NEW_LEADER_CONTACT GRACE
 #else
@@ -183,15 +183,15 @@
   a_worker = i
 }
 
-/* The answer to a poll: the start command goes with a lease and expires before it.  A poll is held
-   open for less than the lease, so the command also expires before its worker can count as lost.  */
+/* Answers a poll: the start command is sent with a lease and expires before it.  A poll is held
+   for less than the lease, so the command also expires before its worker is considered lost.  */
 inline send_start (i)
 {
   silence = LEASE;
   w[i].start = a_epoch
 }
 
-/* The worker refuses an epoch it has run, or a lower one.  The command may come again.  */
+/* The worker refuses epochs up to the highest it has run.  The command may be duplicated.  */
 inline run_start (i)
 {
   w[i].runs = w[i].start;
@@ -228,8 +228,8 @@
   check ()
 }
 
-/* B refuses only what it does not own.  A refusal gives the task back to A, so it must also end the
-   standby copy: A may run the task under its next cell epoch.  */
+/* B refuses only tasks that it does not own.  A refusal returns the task to A, so it must also
+   delete the standby copy: A may run the task under its next cell epoch.  */
 #ifdef REFUSAL_KEEPS_COPY
 #define AFTER_REFUSAL b
 #else
--- a/tests/path_cut_off.sh
+++ b/tests/path_cut_off.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Guards against starts in a data centre that was taken out while it is cut off or its leader is
-# paused, and against work that is lost in a data centre that is cut off.  A cut is made by pausing
-# the processes on the other side.
+# Guards against task starts in a data centre that was taken out while it is partitioned or its
+# leader is paused, and against lost work in a partitioned data centre.  The partition is simulated
+# by pausing the processes on the other side.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -39,43 +39,43 @@
 start_worker wa1 a
 sleep 1
 
-# 1. Data centre c is cut off from the majority: it serves requests, keeps its task, starts nothing.
+# 1. Data centre c is partitioned from the majority: it serves requests, keeps its task, starts none.
 job=$(submit_job schools 1 12000 '"data_centre":"c"')
 wait_for 5 job_in_state "$job" running || fail "job $job does not run"
 pause a1 a2 b1 b2
 sleep 4
-[ "$(c_starts)" = 1 ] || fail "unexpected starts before the cut"
+[ "$(c_starts)" = 1 ] || fail "unexpected number of starts before the partition"
 curl -s -m 8 -X POST -d '{"request_id":"cut","customer":"schools","kind":"batch","class":"k","millicores":100,"memory_mb":10,"run_time_ms":100,"data_centre":"c"}' \
   "http://${VM_ADDRESS[c1]}:7402/v1/jobs" >/dev/null || true
 for n in 1 2 3 4 5; do
-  call_c >/dev/null || fail "a cut-off data centre does not serve request $n"
+  call_c >/dev/null || fail "a partitioned data centre does not serve request $n"
 done
 sleep 3
-[ "$(c_starts)" = 1 ] || fail "a cut-off data centre started a task without a permit"
-! grep -q 'lapse' "$WORK/events" || fail "the running task was lost: $(cat "$WORK/events")"
+[ "$(c_starts)" = 1 ] || fail "a partitioned data centre started a task without a permit"
+! grep -q 'lapse' "$WORK/events" || fail "the lease of the running task lapsed: $(cat "$WORK/events")"
 resume a1 a2 b1 b2
-wait_for 20 job_in_state "$job" "done" || fail "the task that ran through the cut was not recorded"
+wait_for 20 job_in_state "$job" "done" || fail "the task that ran during the partition was not recorded as done"
 
-# 2. Data centre c is out while its VMs are paused: the command is in force within 3 s, and nothing
-#    starts there when they come back.
+# 2. Data centre c is taken out while its VMs are paused: the command is in force within 3 s, and
+#    no task starts there when they resume.
 pause c1 c2
 from=$(date +%s%3N)
 CTL_SERVERS="${VM_ADDRESS[a1]}:7402,${VM_ADDRESS[b1]}:7402"
-ctl data-centre out c >"$WORK/out" || fail "out was not accepted: $(cat "$WORK/out")"
+ctl data-centre out c >"$WORK/out" || fail "taking data centre c out failed: $(cat "$WORK/out")"
 took=$(($(date +%s%3N) - from))
 before=$(c_starts)
 resume c1 c2
 submit_job schools 2 300 '"data_centre":"c"' >"$WORK/moved" || true
 sleep 4
-[ "$(c_starts)" = "$before" ] || fail "a task started in a data centre that is out"
+[ "$(c_starts)" = "$before" ] || fail "a task started in data centre c while it is out"
 echo "out of a paused data centre in force after $took ms: $(tail -n 1 "$WORK/out")"
-[ "$took" -lt 6000 ] || fail "out took $took ms"
-wait_for 20 job_in_state "$(cat "$WORK/moved")" "done" || fail "the job was not done elsewhere"
+[ "$took" -lt 6000 ] || fail "taking data centre c out took $took ms"
+wait_for 20 job_in_state "$(cat "$WORK/moved")" "done" || fail "the job was not completed in another data centre"
 
-# 3. Return during out from two operators; then work starts there again.
-ctl data-centre return c >/dev/null || fail "return failed"
+# 3. Two operators return the data centre; tasks start there again.
+ctl data-centre return c >/dev/null || fail "returning data centre c failed"
 ctl data-centre return c >/dev/null || true
 job=$(submit_job schools 1 100 '"data_centre":"c"')
-wait_for 10 job_in_state "$job" "done" || fail "no work after the return"
+wait_for 10 job_in_state "$job" "done" || fail "job $job did not complete after the return"
 check_events
 echo "1 passed, 0 failed"
--- a/tests/path_disks.sh
+++ b/tests/path_disks.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against a voter that votes with an empty disk under its old identity, and against loss of
-# accepted edits when a second VM is lost right after the first was repaired.
+# accepted edits when a second VM fails right after the first was repaired.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -22,7 +22,7 @@
   ctl apply examples/lists/huron-plans.json examples/lists/huron-customers.json --no-wait --if-version "$1"
 }
 
-# The leader of the registry sees VM node $1 as a voter with its own store that has everything.
+# The registry's leader reports node $1 as a voter with its own store that is up to date.
 repaired ()
 {
   local leader
@@ -36,7 +36,7 @@
 sys.exit (0 if ok else 1)' "$1"
 }
 
-apply_version 1 || fail "edit 1"
+apply_version 1 || fail "edit 1 was not accepted"
 cluster_kill b2 KILL
 rm -rf "${WORK:?}/b2"
 cluster_start b2
@@ -44,22 +44,22 @@
 wait_for 10 repaired 4 || fail "b2 was not repaired: $(vm_state "$(leader_of registry)")"
 echo "repaired"
 
-# A second VM is lost with its disk right after the repair; the three others go on.
+# A second VM loses its disk right after the repair; the other three continue.
 victim=$(leader_of registry)
 cluster_kill "$victim" KILL
 rm -rf "${WORK:?}/$victim"
-apply_version 2 || fail "no edit is accepted after the second loss"
+apply_version 2 || fail "edit 2 was not accepted after the second loss"
 cluster_start "$victim"
 wait_for 10 repaired "$(grep -o "\"vm\":\"$victim\".*\"node\":[0-9]*" "$WORK/members.json" |
   sed 's/.*"node"://')" || fail "$victim was not repaired"
-apply_version 3 || fail "no edit is accepted after the second repair"
+apply_version 3 || fail "edit 3 was not accepted after the second repair"
 for vm in "${VMS[@]}"; do
   wait_for 10 on_version "$vm" 4 || fail "VM $vm has version $(version "$vm")"
 done
 
-# Both voters of one data centre are lost: the others keep a majority.
+# Both voters of one data centre fail: the others keep a majority.
 cluster_kill a1 KILL
 cluster_kill a2 KILL
 rm -rf "${WORK:?}/a1" "${WORK:?}/a2"
-apply_version 4 || fail "no edit is accepted without data centre a"
+apply_version 4 || fail "edit 4 was not accepted without data centre a"
 echo "1 passed, 0 failed"
--- a/tests/path_early_signals.sh
+++ b/tests/path_early_signals.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A signal that comes while the process still opens its disk: a reload must not end it, a planned stop
-# must be carried out once it is up. The file that is read first is a FIFO, which holds the start up.
-# Found by the fault soak: seeds 101 and 127 (a process "ended by itself").
+# Signals during startup, while the process still opens its disk: a reload must not end it, a planned
+# stop must be executed once it is up. The first file it reads is a FIFO, which blocks the startup.
+# Found by the soak test: seeds 101 and 127 (a process "ended unexpectedly").
 set -euo pipefail
 build=$1
 folder=$(mktemp -d)
@@ -13,14 +13,14 @@
 "$build/sassafras-platform" --role=core --vm=core-1 --data-centre=z1 --ip=$net.1 --listen-control=$net.1:8166 \
   --ports=7000,7009 --seeds=$net.1:8166 --first-start=true --data-dir="$folder/disk" >"$folder/log" 2>&1 &
 pid=$!
-# The writer's open ends when the process has the FIFO open, so it waits in the middle of its start.
+# The writer's open returns once the process has opened the FIFO and so blocks during its startup.
 exec 9>"$folder/disk/incarnation"
 kill -HUP $pid
 sleep 0.3
-kill -0 $pid 2>/dev/null || fail "a reload ended the process while it started"
+kill -0 $pid 2>/dev/null || fail "a reload ended the process during startup"
 kill -TERM $pid
 sleep 0.3
-kill -0 $pid 2>/dev/null || fail "a stop killed the process while it started"
+kill -0 $pid 2>/dev/null || fail "a stop killed the process during startup"
 echo 1 >&9
 exec 9>&-
 for _ in $(seq 100); do kill -0 $pid 2>/dev/null || break; sleep 0.1; done
--- a/tests/path_edits.sh
+++ b/tests/path_edits.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against accepted edits that are lost, doubled or reverted: the leader of the registry is
-# killed twice during a burst of edits, commands are sent again with their request ids, two operators
+# Guards against accepted edits that are lost, applied twice or reverted: the leader of the registry
+# is killed twice during a burst of edits, commands are retried with their request ids, two operators
 # race with equal versions, and every VM restarts after hundreds of changes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -21,7 +21,7 @@
     "http://${VM_ADDRESS[$vm]}:7402/v1/lists" || true
 }
 
-# Repeats one command through the VMs in turn until it has an outcome; prints the HTTP code.
+# Retries one command through the VMs in turn until it has an outcome; prints the HTTP code.
 edit ()
 {
   local n=$1 tries=0 code vm
@@ -56,7 +56,7 @@
 done
 
 again=$(put_lists 5 6 edit-5 "${VMS[7]}" | head -n 1)
-grep -q '"version": *6' <<<"$again" || fail "a repeated command got another answer: $again"
+grep -q '"version": *6' <<<"$again" || fail "a retried command got a different answer: $again"
 
 put_lists "$((EDITS + 1))" 10 race-1 a1 >"$WORK/race.1" &
 first=$!
@@ -67,7 +67,7 @@
 [ "$(cat "$WORK"/race.[12] | grep -c '^409$')" = 1 ] || fail "the losing edit got no version conflict"
 
 for vm in "${VMS[@]}"; do
-  wait_for 5 on_version "$vm" "$((EDITS + 2))" || fail "VM $vm lags: $(vm_state "$vm" | head -c 300)"
+  wait_for 5 on_version "$vm" "$((EDITS + 2))" || fail "VM $vm did not reach version $((EDITS + 2)): $(vm_state "$vm" | head -c 300)"
 done
 for vm in "${VMS[@]}"; do
   cluster_kill "$vm" KILL
--- a/tests/path_once.sh
+++ b/tests/path_once.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against a second run of an unrepeatable request: the entry VM is killed while the request
-# runs, the caller repeats it through other VMs, and the leader of its home cell is killed as well.
+# runs, the caller retries it through other VMs, and the leader of its home cell is killed as well.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -45,20 +45,20 @@
     case $answer in
       *'"ran":"unknown"'*) ;;
       *'"ran":"no"'*50[34]) ;;
-      *) fail "the repeat of request $n through $other got: $answer" ;;
+      *) fail "the retry of request $n through $other got: $answer" ;;
     esac
   done
   [ "$(executions "key-$n")" = 1 ] || fail "request $n ran $(executions "key-$n") times"
   cluster_start "$vm"
-  wait_for 15 healthy "$vm" || fail "$vm does not come back"
+  wait_for 15 healthy "$vm" || fail "$vm is not healthy after its restart"
 done
 
-# Ten repeats at once through all VMs: one run, the others get its answer or are told to wait.
+# Ten concurrent retries through all VMs: one run, the others get its answer or have to wait.
 for vm in a1 a2 b1 b2 c1 c2 a1 b1 c1 a2; do
   send burst "$vm" 300 >>"$WORK/burst" &
 done
 for job in $(jobs -p); do
   case " ${PIDS[*]} " in *" $job "*) ;; *) wait "$job" || true ;; esac
 done
-[ "$(executions burst)" = 1 ] || fail "ten repeats at once ran $(executions burst) times"
+[ "$(executions burst)" = 1 ] || fail "ten concurrent retries ran $(executions burst) times"
 echo "1 passed, 0 failed"
--- a/tests/path_operators.sh
+++ b/tests/path_operators.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a sassafrasctl that applies an edit twice after a lost answer, gives up while another
-# server could answer, reports a wrong exit code, or says "in force" before it is.
+# Guards against a sassafrasctl that applies an edit twice after a lost answer, fails while another
+# server could answer, returns a wrong exit code, or reports "in force" too early.
 set -euo pipefail
 build=$1
 dir=$(mktemp -d)
@@ -57,7 +57,7 @@
 huron=("$lists/huron-plans.json" "$lists/huron-customers.json")
 kigali=("$lists/kigali-plans.json" "$lists/kigali-customers.json")
 
-# Without a server.
+# No server.
 expect 0 check "${huron[@]}"
 expect 0 check "${kigali[@]}"
 sed 's/"plan": "nightly"/"plan": "nightli"/' "$lists/kigali-customers.json" >"$dir/bad.json"
@@ -69,7 +69,7 @@
 expect 10 state --server 127.0.0.1:1 --timeout 500
 expect 7 drain a1 --server 127.0.0.1:1 --timeout 500
 
-# One server; the first address of the two is dead.
+# One server; nothing listens on the first of the two addresses.
 start_server a1
 export SASSAFRAS_SERVER=127.0.0.1:1,$address
 expect 5 apply "$lists/kigali-plans.json" "$dir/bad.json" --if-version 0
@@ -86,7 +86,7 @@
 expect 0 show
 grep -Eq "^a1 +a +1 20" "$dir/out" || fail "$(cat "$dir/out")"
 
-# Two edits of one version at the same time: exactly one wins.
+# Two concurrent edits of one version: exactly one wins.
 for i in 1 2; do
   {
     code=0
@@ -100,7 +100,7 @@
 codes=$(sort -n "$dir/code-1" "$dir/code-2" | paste -sd' ')
 [ "$codes" = "0 6" ] || fail "two edits of one version ended with $codes"
 
-# Out is answered with both times; a return afterwards is accepted at once.
+# The answer to out has both times; a return after it is accepted at once.
 expect 0 data-centre out a --json
 accepted=$(sed -n 's/.*"accepted_at_ms": \([0-9]*\).*/\1/p' "$dir/out")
 in_force=$(sed -n 's/.*"in_force_at_ms": \([0-9]*\).*/\1/p' "$dir/out")
@@ -125,11 +125,11 @@
 expect 3 jobs list
 expect 0 counters
 
-# Every other answer is lost after the command took effect.
+# Every other answer is lost after the command was applied.
 start_server a1 lossy
 export SASSAFRAS_SERVER=$address
 expect 0 apply "${huron[@]}" --if-version 0
-grep -q "version 1 is in force" "$dir/out" || fail "a repeat was not answered with the first answer"
+grep -q "version 1 is in force" "$dir/out" || fail "a retry did not get the first answer"
 expect 0 show
-grep -Eq "^a1 +a +1 20" "$dir/out" || fail "the edit took effect twice: $(cat "$dir/out")"
+grep -Eq "^a1 +a +1 20" "$dir/out" || fail "the edit was applied twice: $(cat "$dir/out")"
 echo "path_operators: passed"
--- a/tests/path_platform.sh
+++ b/tests/path_platform.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The whole path on the users' platform with real processes on loopback: a configuration, jobs with two
-# steps through a front, the leader killed, all jobs completed, no task started twice at a time or after
-# its end, the configuration read back. Guards against an adapter that works in its parts only.
+# End-to-end test of the platform adapter with real processes on loopback: a configuration, jobs with two
+# steps through a front, the leader killed, all jobs completed, no task started while it runs or after
+# its end, the configuration read back. Guards against faults between parts that work by themselves.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
@@ -48,7 +48,7 @@
 config='{"version":3,"routes":[{"name":"q","host":"h.example","path_prefix":"/q/","timeout_ms":3000,"target_latency_ms":1000,"priority":0,"service":"pool","max_attempts":3,"stretch":2}],"services":[{"name":"pool","rejects_overload":true}],"limits":{}}'
 put() { [ "$(curl_ -X PUT -H 'Content-Type: application/json' -d "$config" "http://$net.2:8166/sassafrasstall/config")" = 200 ]; }
 wait_for 10 put || fail "the configuration was not accepted"
-[ "$(curl_ -X PUT -d '{"version":4,"routes":[' "http://$net.1:8166/sassafrasstall/config")" = 400 ] || fail "a configuration cut short was not refused"
+[ "$(curl_ -X PUT -d '{"version":4,"routes":[' "http://$net.1:8166/sassafrasstall/config")" = 400 ] || fail "a truncated configuration was not refused"
 job='{"spec":"150","steps":[{"count":3,"cpu":1000,"mem_mb":100,"estimate_ms":150},{"count":2,"cpu":1000,"mem_mb":100,"estimate_ms":150,"after":[0]}]}'
 id() { printf '%016x' "$1"; }
 submit() { [ "$(curl_ -X POST -H 'Host: h.example' -H 'Deadline-Ms: 3000' -d "$job" "http://$net.10:8161/q/$(id "$1")")" = 200 ]; }
@@ -59,19 +59,19 @@
   return 1
 }
 for n in $(seq 1 10); do wait_for 10 submit "$n" || fail "job $n was not accepted"; done
-lead=$(leader) || fail "nobody leads"
+lead=$(leader) || fail "no leader"
 kill -9 "${core[$lead]}"
-for n in $(seq 11 20); do wait_for 15 submit "$n" || fail "job $n was not accepted after the leader's death"; done
+for n in $(seq 11 20); do wait_for 15 submit "$n" || fail "job $n was not accepted after the leader was killed"; done
 start_core "$lead" false
 completed() {
   curl_ -H 'Host: h.example' "http://$net.10:8161/q/$(id "$1")" >/dev/null
   grep -q '"completed"' "$folder/answer"
 }
 for n in $(seq 1 20); do wait_for 30 completed "$n" || fail "job $n is not completed"; done
-[ "$(curl_ -H 'Host: h.example' "http://$net.10:8161/q/$(id 99)")" = 410 ] || fail "an unknown job is shown"
-[ "$(curl_ -H 'Host: h.example' "http://$net.10:8161/other/$(id 1)")" = 404 ] || fail "an unknown queue is shown"
+[ "$(curl_ -H 'Host: h.example' "http://$net.10:8161/q/$(id 99)")" = 410 ] || fail "an unknown job was not answered with 410"
+[ "$(curl_ -H 'Host: h.example' "http://$net.10:8161/other/$(id 1)")" = 404 ] || fail "an unknown queue was not answered with 404"
 curl_ "http://$net.$lead:8166/sassafrasstall/config" >/dev/null
-grep -q '"version":3' "$folder/answer" || fail "the configuration is not read back"
+grep -q '"version":3' "$folder/answer" || fail "the configuration was not read back"
 twice=$(cat "$folder"/worker-*.log | awk '$1=="start"{n[$2]++; if (n[$2]>1) print $2} $1=="end"{n[$2]--}' | head -3)
 starts=$(cat "$folder"/worker-*.log | grep -c '^start')
 echo "20 of 20 jobs completed, $starts starts for 100 tasks, leader killed once"
--- a/tests/path_registry.sh
+++ b/tests/path_registry.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Guards against an accepted edit that is lost, reverted or applied twice with real processes: two
-# operators race through different VMs, the registry's leader is killed between edits, every process
-# restarts, a VM with a disk is replaced.
+# operators race through different VMs, the registry's leader is killed between edits, all processes
+# restart, a VM with a disk is replaced.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -20,7 +20,7 @@
 
 lists=(examples/lists/kigali-plans.json examples/lists/kigali-customers.json)
 
-# Usage: operator VM ARGUMENT...   sassafrasctl against one VM.
+# Usage: operator VM ARGUMENT...   Runs sassafrasctl against one VM.
 operator ()
 {
   local vm=$1
@@ -35,7 +35,7 @@
   operator "$1" --json --timeout 500 state 2>/dev/null | tr -d '\n '
 }
 
-# VM that leads the registry, by the state of each VM; empty while there is none.
+# Prints the VM that leads the registry by the states of the VMs; empty if there is none.
 registry_leader ()
 {
   local vm state
@@ -59,7 +59,7 @@
   ctl --json diff "${lists[@]}" | sed -n 's/^  "version": \([0-9]*\).*/\1/p'
 }
 
-# Every VM that runs has version $1 in force.
+# Every running VM has version $1 in force.
 all_have ()
 {
   local vm state
@@ -81,7 +81,7 @@
 cluster_members "a:2 b:2 c:1"
 cluster_start_all
 wait_for 20 all_healthy || fail "not every VM became healthy"
-ctl apply "${lists[@]}" --if-version 0 --request-id first >/dev/null || fail "the first edit"
+ctl apply "${lists[@]}" --if-version 0 --request-id first >/dev/null || fail "the first edit was not accepted"
 
 # Rounds of two racing operators; after every second round the leader of the registry is killed.
 expected=1
@@ -107,34 +107,34 @@
     wait_for 10 has_leader || fail "no new leader after $leader was killed"
     [ "$(version)" = "$expected" ] || fail "the version is $(version) after $leader was killed"
     cluster_start "$leader"
-    wait_for 15 all_healthy || fail "$leader did not come back"
+    wait_for 15 all_healthy || fail "$leader is not healthy after its restart"
   fi
 done
 wait_for 15 all_have "$expected" || fail "not every VM has version $expected in force"
 
-# A repeat of the first command, after every process was killed at once, gets the first answer.
+# A retry of the first command, after all processes were killed at once, gets the first answer.
 for vm in "${VMS[@]}"; do
   cluster_kill "$vm"
 done
 cluster_start_all
-wait_for 20 all_healthy || fail "not every VM came back"
+wait_for 20 all_healthy || fail "not every VM is healthy after the restart"
 repeat=$(ctl --json apply "${lists[@]}" --if-version 0 --request-id first --no-wait)
-grep -q '"version": 1' <<<"$repeat" || fail "the repeat got $repeat"
+grep -q '"version": 1' <<<"$repeat" || fail "the retry got $repeat"
 [ "$(version)" = "$expected" ] || fail "the version is $(version) after the restart"
 
-# Replace b1, which has a disk and votes, as docs/operators.md says.
+# Replace b1, which has a disk and votes, as described in docs/operators.md.
 cluster_kill b1
 rm -rf "$WORK/b1"
 operator a1 members file >"$WORK/before.json"
 tr -d '\n' <"$WORK/before.json" | tr '{' '\n' | sed -n 's/^\(.*"vm": "b1".*\)\}.*/{\1}/p' |
   sed 's/, *"node": [0-9]*//; s/} *\(,\|\]\).*/}/' >"$WORK/b1.json"
-ctl members replace "$WORK/b1.json" >"$WORK/replaced" || fail "replace: $(cat "$WORK/b1.json")"
+ctl members replace "$WORK/b1.json" >"$WORK/replaced" || fail "replacing b1 failed: $(cat "$WORK/b1.json")"
 grep -q "VM b1, node 6" "$WORK/replaced" || fail "replace answered $(cat "$WORK/replaced")"
 operator a1 members file | tr -d '\n ' | sed 's/{"vm"/\n&/g' >"$WORK/members.json"
-grep -q '"vm":"b1".*"node":6' "$WORK/members.json" || fail "a VM still answers with the old member"
+grep -q '"vm":"b1".*"node":6' "$WORK/members.json" || fail "the members still list the old b1"
 cluster_start b1
 wait_for 20 healthy b1 || fail "the replaced b1 is not healthy"
 wait_for 15 all_have "$expected" || fail "the replaced b1 does not have version $expected"
 wait_for 20 votes 6 || fail "node 6 does not vote"
-ctl apply "${lists[@]}" --if-version "$expected" >/dev/null || fail "an edit after the replacement"
+ctl apply "${lists[@]}" --if-version "$expected" >/dev/null || fail "the edit after the replacement was not accepted"
 echo "path_registry: passed"
--- a/tests/path_standin_stop.sh
+++ b/tests/path_standin_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against a runner stand-in that never ends after SIGTERM because its callers keep their
-# connections open: its last request ends after the time in which it serves newcomers, and nobody
+# Guards against a runner stand-in that never exits after SIGTERM because clients keep connections
+# open: its last request ends after the period in which it still accepts new requests, and no one
 # closes a connection after that.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tests/path_stop.sh
+++ b/tests/path_stop.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Guards against requests that a planned stop cuts off: slow requests are in flight through a VM and
-# on a runner while both get SIGTERM, and new ones arrive meanwhile.
+# Guards against requests that a planned stop interrupts: slow requests are in flight through a VM
+# and on a runner while both get SIGTERM, and new ones arrive meanwhile.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -40,7 +40,7 @@
   call "a$((n % 2 * 2 + 1))" 20 >>"$WORK/fast"
 done
 wait "${calls[@]}"
-[ "$(grep -c '^200 300 0$' "$WORK/slow")" = 12 ] || fail "slow requests were cut off: $(cat "$WORK/slow")"
+[ "$(grep -c '^200 300 0$' "$WORK/slow")" = 12 ] || fail "slow requests were interrupted: $(cat "$WORK/slow")"
 [ "$(grep -c '^200 300 0$' "$WORK/fast")" = 30 ] || fail "requests failed: $(cat "$WORK/fast")"
 wait "${PIDS[a2]}" || fail "the stopped VM exited with $?"
 wait "${PIDS[r2]}" || fail "the departed runner exited with $?"
--- a/tests/path_whole.sh
+++ b/tests/path_whole.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Guards against a break anywhere between callers, operators and backend servers: three data centres
-# with real processes, lists applied, a request served through a VM of another region, an
-# unrepeatable request answered twice but run once, a batch job run to its end, a data centre taken
-# out and returned.
+# End-to-end test between callers, operators and backend servers: three data centres with real
+# processes, lists applied, a request served through a VM of another region, an unrepeatable request
+# answered twice but run once, a batch job completed, a data centre taken out and returned.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -36,10 +35,10 @@
 done
 first=$(call b2 book -X POST -d 'pallet 7' -H 'Sassafras-Unrepeatable: 1' -H 'Idempotency-Key: k1')
 again=$(call c1 book -X POST -d 'pallet 7' -H 'Sassafras-Unrepeatable: 1' -H 'Idempotency-Key: k1' -D "$WORK/headers")
-[ "$first" = "$again" ] || fail "the first answer was '$first', the repeat got '$again'"
+[ "$first" = "$again" ] || fail "the first answer was '$first', the retry got '$again'"
 runs=$(curl -s -m 2 "http://$RUNNER/standin/executions?key=k1" | tr -cd '0-9')
 [ "$runs" = 1 ] || fail "the unrepeatable request ran $runs times"
-grep -qi '^sassafras-replayed: 1' "$WORK/headers" || fail "the repeat was not answered from the record"
+grep -qi '^sassafras-replayed: 1' "$WORK/headers" || fail "the retry was not answered from the recorded answer"
 unknown=$(curl -s -m 5 -H 'Sassafras-Customer: nobody' "http://${VM_ADDRESS[a1]}:7400/v1/call/echo/x")
 grep -q '"ran": *"no"' <<<"$unknown" || fail "an unknown customer got: $unknown"
 
@@ -48,7 +47,7 @@
  "run_time_ms":500,"replicas":3}
 END
 job=$(ctl --json jobs submit "$WORK/job.json" | sed -n 's/.*"job": *\([0-9]*\).*/\1/p')
-wait_for 15 job_in_state "$job" "done" || fail "job $job did not finish: $(ctl jobs show "$job")"
+wait_for 15 job_in_state "$job" "done" || fail "job $job did not complete: $(ctl jobs show "$job")"
 [ "$(grep -c ' start ' "$WORK/events")" = 3 ] || fail "not every task started exactly once"
 
 ctl data-centre out c || fail "data centre c was not taken out"
--- a/tests/path_workers.sh
+++ b/tests/path_workers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Guards against tasks that run in two places or are lost: a worker is killed, a worker is paused
-# beyond its lease, the leader of the cell is killed while tasks run, a worker fails everything.
+# beyond its lease, the cell's leader is killed while tasks run, a worker fails all its tasks.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 . scripts/cluster.sh
@@ -23,7 +23,7 @@
 killed=$(date +%s%3N)
 awk -v w="$victim" '$2 == "start" && $5 == w { print $3 }' "$WORK/events" | sort -u >"$WORK/lost-tasks"
 
-# The killed worker's tasks end with it; the check of overlaps has to know.
+# The killed worker's tasks end with it; record that for the overlap check.
 while read -r task; do
   echo "$killed exit $task 0 $victim" >>"$WORK/events"
 done <"$WORK/lost-tasks"
@@ -36,7 +36,7 @@
 again=$(awk -v t="$killed" '$2 == "start" && $1 > t { n++ } END { print n + 0 }' "$WORK/events")
 echo "$again starts after the kill, job done $(($(date +%s%3N) - killed)) ms after it"
 
-# A worker that is paused beyond its lease gives its tasks up when it goes on.
+# A worker that is paused beyond its lease abandons its tasks when it resumes.
 cluster_start "$leader"
 start_worker w4 a --rack=r4
 job=$(submit_job schools 2 16000)
@@ -50,8 +50,8 @@
 sleep 15
 kill -CONT "${PIDS[$holder]}"
 wait_for 60 job_in_state "$job" "done" || fail "job $job is not done after the pause"
-# The tasks of a paused worker do no work: count them as ended when the pause began, instead of when
-# the worker gave them up after it.
+# The tasks of a paused worker do no work: record them as ended at the start of the pause, not when
+# the worker abandoned them after it.
 sed -i "/ lapse .* $holder\$/d" "$WORK/events"
 for task in $tasks; do
   echo "$paused exit $task 0 $holder" >>"$WORK/events"
