--- a/bench/client_bytes.c
+++ b/bench/client_bytes.c
@@ -27,7 +27,7 @@
 {
   int fd;
   struct buffer in;
-  long long answer_ms; /* time at which the held poll is answered; 0 if none is held */
+  long long answer_at_ms; /* time at which the held poll is answered; 0 if none is held */
 };
 
 struct entry
@@ -81,7 +81,7 @@
   e->started = true;
   send_answer (e, c, b.data);
   buffer_close (&b);
-  c->answer_ms = 0;
+  c->answer_at_ms = 0;
 }
 
 /* Handles the first complete request in the input; returns false if there is none.  */
@@ -103,7 +103,7 @@
   if (!poll_request)
     send_answer (e, c, "{\"heartbeat_ms\":3000}");
   else if (wait && e->started)
-    c->answer_ms = now_ms () + POLL_HOLD_MS;
+    c->answer_at_ms = now_ms () + POLL_HOLD_MS;
   else
     answer_poll (e, c);
   return true;
@@ -137,8 +137,8 @@
     {
       if (p[i + 1].revents)
         read_input (e, &e->connections[i]);
-      if (e->connections[i].fd >= 0 && e->connections[i].answer_ms
-          && now_ms () >= e->connections[i].answer_ms)
+      if (e->connections[i].fd >= 0 && e->connections[i].answer_at_ms
+          && now_ms () >= e->connections[i].answer_at_ms)
         answer_poll (e, &e->connections[i]);
     }
   if (p[0].revents && e->count < MAX_CONNECTIONS)
--- a/bench/control_size.c
+++ b/bench/control_size.c
@@ -22,7 +22,7 @@
 #define DIGEST_ROUNDS 2000
 #define DIGEST_PERIOD_MS 500
 #define PAYLOAD_BYTES 64
-#define REPEATS 3 /* the minimum counts: other load only adds time */
+#define REPEATS 3 /* the lowest CPU time is reported: other load only adds time */
 
 struct line
 {
--- a/bench/daemon_cost.sh
+++ b/bench/daemon_cost.sh
@@ -6,7 +6,7 @@
 # are both, under a bounded load of calls and batch jobs.  Without workers and runners only the idle
 # phase runs.
 #
-# CPU time is from /proc/PID/stat in ticks of 10 ms, so other load on the machine hardly affects it;
+# CPU time is the process's own (/proc/PID/stat, ticks of 10 ms), which other load hardly affects;
 # bytes are from the peer counters in /v1/state.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -149,11 +149,11 @@
 measure "idle, ${#VMS[@]} VMs" sleep "$SECONDS_PER_PHASE"
 [ "$((WORKERS + RUNNERS))" -gt 0 ] || exit 0
 start_clients
-wait_for 20 all_runners_live || fail "not every runner became known"
+wait_for 20 all_runners_live || fail "fewer than $RUNNERS runners are live on ${VMS[0]} after 20 s"
 sleep 4
 measure "$WORKERS workers, $RUNNERS runners, no load" sleep "$SECONDS_PER_PHASE"
 if [ "$WORKERS" = 0 ] || [ "$RUNNERS" = 0 ]; then
   exit 0
 fi
 measure "calls and jobs" run_load
-echo "  calls: $(sort "$WORK"/calls.* | uniq -c | awk '{ printf "%s with %s; ", $1, $2 }')task starts: $(starts)"
+echo "  calls: $(sort "$WORK"/calls.* | uniq -c | awk '{ printf "%s with %s; ", $1, $2 }')task starts: $(count_task_starts)"
--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -15,7 +15,7 @@
 #include "dispatcher.h"
 #include "rng.h"
 
-#define MAX_RUNS 256 /* of one worker, and of the ends that it reports */
+#define MAX_RUNS 256 /* of one worker, and maximum of its ends not yet acknowledged */
 #define MAX_PENDING 65536
 #define LEASE_MS 10000
 #define STATUS_MS 120000
@@ -24,8 +24,8 @@
 #define LASTING_AT_MS 1000
 #define WARM_UP_MS 10000
 #define TARGET_LATENCY_MS 18 /* target latency of lasting tasks; an idle one answers in 4 ms */
-#define SERVING_IMAGES 5
-#define FILLING_IMAGES 9
+#define LASTING_IMAGES 5
+#define FILL_IMAGES 9
 
 struct sim_run
 {
@@ -45,8 +45,8 @@
   int count;
   struct reported_end ends[MAX_RUNS];
   int end_count;
-  uint64_t last_end_number; /* number of the latest end */
-  int64_t hold_at_ms;       /* time at which the pending hold is answered; 0 if none */
+  uint64_t last_end_number;  /* number of the latest end */
+  int64_t hold_answer_at_ms; /* time at which the pending hold is answered; 0 if none */
   struct worker_hold hold;
 };
 
@@ -149,7 +149,7 @@
   struct sim *s = (struct sim *)l;
   struct sim_worker *w = worker_of (s, &o->to);
   w->hold = *o;
-  w->hold_at_ms = s->now_ms + (o->wait_ms ? o->wait_ms : STEP_MS);
+  w->hold_answer_at_ms = s->now_ms + (o->wait_ms ? o->wait_ms : STEP_MS);
 }
 
 static const struct worker_link_ops link_ops = { sim_start, sim_stop, sim_pace, sim_hold };
@@ -195,7 +195,7 @@
   buffer_init (&entry);
   workflow_encode (c, &entry);
   if (!apply (s, &entry))
-    fprintf (stderr, "a change was refused\n");
+    fprintf (stderr, "workflow command refused\n");
   buffer_close (&entry);
 }
 
@@ -231,7 +231,7 @@
 {
   for (int i = 0; i < s->count / 3; i++)
     {
-      char image[] = { 's', (char)('0' + i % SERVING_IMAGES), '\0' };
+      char image[] = { 's', (char)('0' + i % LASTING_IMAGES), '\0' };
       const workflow_step step = { .count = 14,
                                    .millicores = random_between (s, 2400, 4000),
                                    .memory_mb = 1000,
@@ -246,7 +246,7 @@
 static void
 submit_fill (struct sim *s)
 {
-  char image[] = { 'f', (char)('0' + random_between (s, 0, FILLING_IMAGES - 1)), '\0' };
+  char image[] = { 'f', (char)('0' + random_between (s, 0, FILL_IMAGES - 1)), '\0' };
   const workflow_step step = { .count = 20,
                                .millicores = random_between (s, 1200, 2400),
                                .memory_mb = 1000,
@@ -312,7 +312,7 @@
                                       .ended = w->ends,
                                       .ended_len = (size_t)w->end_count,
                                       .complete = true };
-  w->hold_at_ms = 0;
+  w->hold_answer_at_ms = 0;
   dispatcher_hold_answer (s->dispatcher, s->now_ms, w->id, WORKER_CALL_OK, &lists);
 }
 
@@ -330,8 +330,8 @@
                                                        .outcome = WORKFLOW_DONE,
                                                        .checkpoint = "" };
       w->runs[i] = w->runs[--w->count];
-      if (w->hold_at_ms)
-        w->hold_at_ms = s->now_ms;
+      if (w->hold_answer_at_ms)
+        w->hold_answer_at_ms = s->now_ms;
     }
 }
 
@@ -403,7 +403,7 @@
   commit (s);
   answer_calls (s);
   for (int i = 0; i < s->count; i++)
-    if (s->workers[i].hold_at_ms && s->workers[i].hold_at_ms <= s->now_ms)
+    if (s->workers[i].hold_answer_at_ms && s->workers[i].hold_answer_at_ms <= s->now_ms)
       answer_hold (s, &s->workers[i]);
   return cpu_s () - began_s;
 }
@@ -484,7 +484,7 @@
   simulate (&s, rate, WARM_UP_MS + seconds * 1000, &used_s);
   TAILQ_FOREACH (t, &s.workflow.ready, link)
   waiting++;
-  printf ("%d workers, %.1f fill-in jobs/s, %d s: %.1f ms processor time a second, %.0f starts/s, "
+  printf ("%d workers, %.1f fill-in jobs/s, %d s: %.1f ms CPU per second, %.0f starts/s, "
           "%u tasks waiting at the end\n",
           workers, rate, (int)seconds, used_s * 1000 / (double)seconds,
           (double)(s.starts - before) / (double)seconds, waiting);
--- a/bench/fake_worker.h
+++ b/bench/fake_worker.h
@@ -1,6 +1,7 @@
 /* fake_worker: simulated worker for tests and benchmarks of the scheduler.  It obeys the rules of
    scheduler.h: lease, validity of starts, epochs, complete lists.  The payload of a task sets its
-   behaviour: "run=MS use=MILLICORES mem=MB fail=MS".  The caller sets usage and slowdown. */
+   behaviour: "run=MS use=MILLICORES mem=MB fail=MS".  The caller may set the
+   reported usage (delayed samples) and the reported slowdown.  */
 
 #ifndef SASSAFRAS_FAKE_WORKER_H
 #define SASSAFRAS_FAKE_WORKER_H
@@ -39,7 +40,7 @@
   uint32_t slowdown_history[FAKE_HISTORY_S]; /* one per second, a ring */
   uint32_t usage_history[FAKE_HISTORY_S];
   int64_t started_ms;
-  int64_t stop_at_ms; /* time at which a requested stop takes effect; 0: none */
+  int64_t stop_at_ms; /* when the checkpoint of a requested stop, and the task, end; 0: none */
   int64_t checkpoint_at_ms;
   char checkpoint[32];
 };
--- a/bench/log_times.c
+++ b/bench/log_times.c
@@ -1,7 +1,7 @@
 /* Times and traffic of a group on a simulated clock, with the default timing.
 
    Prints the time without a leader after the leader crashes, the traffic of an idle group per VM,
-   and the delivery time of heartbeats during a snapshot transfer on a 30 Mbit/s link.
+   and the longest delivery time of append requests during a snapshot transfer on a 30 Mbit/s link.
    Usage: bench_log_times  */
 #include <stdio.h>
 #include <stdlib.h>
--- a/bench/peer_net_cost.c
+++ b/bench/peer_net_cost.c
@@ -19,7 +19,7 @@
 #define BATCH 16 /* messages per peer between loop runs, far below the queue limit */
 #define BYTES_PER_POINT (256LL * 1024 * 1024)
 #define MAX_MESSAGES 200000
-#define REPEATS 3 /* the minimum counts: other load only adds time */
+#define REPEATS 3 /* the lowest CPU time is reported: other load only adds time */
 #define IDLE_S 5
 #define US_PER_S 1e6
 
@@ -219,8 +219,9 @@
   ev_timer_init (&timer, on_idle_end, IDLE_S, 0.0);
   ev_timer_start (loop, &timer);
   ev_run (loop, 0);
-  printf ("idle, %d peers: %.0f bytes/s sent by one end, %.3f%% of a core for %d ends\n", peers,
-          (double)(sent_bytes () - bytes) / IDLE_S, (cpu_s () - cpu) / IDLE_S * 100.0, peers + 1);
+  printf ("idle, %d peers: %.0f bytes/s sent by the hub, %.3f%% of a core for %d endpoints\n",
+          peers, (double)(sent_bytes () - bytes) / IDLE_S, (cpu_s () - cpu) / IDLE_S * 100.0,
+          peers + 1);
 }
 
 int
--- a/bench/registry_lists.c
+++ b/bench/registry_lists.c
@@ -1,8 +1,8 @@
 /* Cost and memory of a list change, and time to load a snapshot, at three sizes.
    Usage: bench_registry_lists   Prints one line per size: customers, bytes of both lists, time to
-   check an edit, time to apply it (including its check on this VM), time of another command, time
-   to save and to load a snapshot with 4,096 answers, its size, the heap use of one version of the
-   lists and of the whole registry, and the time of a customer lookup.  */
+   check an edit, time to apply it (including the check that this VM can use the lists), time of a
+   command without lists, time to save and to load a snapshot with 4,096 answers, size of the
+   snapshot, heap use of one version of the lists and of the registry, time of a customer lookup. */
 #include <inttypes.h>
 #include <malloc.h>
 #include <stdio.h>
--- a/bench/request_loopback.c
+++ b/bench/request_loopback.c
@@ -166,13 +166,13 @@
 }
 
 static void
-print_result (struct bench *b, double seconds, double entry_cpu_s)
+print_result (struct bench *b, double seconds, double used_cpu_s)
 {
   qsort (b->latencies, (size_t)b->total, sizeof *b->latencies, compare_us);
-  printf ("%ld requests on %d connections: %.0f/s, %.0f per processor second of the entry, "
+  printf ("%ld requests on %d connections: %.0f/s, %.0f per CPU second of the entry, "
           "%.1f us each, p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, not 200: %ld\n",
-          b->total, b->connections, (double)b->total / seconds, (double)b->total / entry_cpu_s,
-          entry_cpu_s * 1e6 / (double)b->total, quantile_ms (b, 0.5), quantile_ms (b, 0.99),
+          b->total, b->connections, (double)b->total / seconds, (double)b->total / used_cpu_s,
+          used_cpu_s * 1e6 / (double)b->total, quantile_ms (b, 0.5), quantile_ms (b, 0.99),
           quantile_ms (b, 0.999), b->failed);
   printf ("tries per request %.4f\n",
           (double)statistic (b->entry.admin_port, "/stats", "tries") / (double)b->total);
@@ -201,10 +201,10 @@
   if (!wait_statistic (b.entry.admin_port, "/stats", "live", BENCH_RUNNERS))
     return 1;
   printf ("entry pid %d, resident %ld KB\n", (int)b.entry.pid, resident_kb (b.entry.pid));
-  double entry_cpu_s = cpu_s (b.entry.pid);
+  double start_cpu_s = cpu_s (b.entry.pid);
   int64_t start = now_us ();
   run_callers (&b);
-  print_result (&b, (double)(now_us () - start) / 1e6, cpu_s (b.entry.pid) - entry_cpu_s);
+  print_result (&b, (double)(now_us () - start) / 1e6, cpu_s (b.entry.pid) - start_cpu_s);
   for (int i = 0; i < BENCH_RUNNERS; i++)
     end_child (&runners[i], SIGKILL);
   int status = end_child (&b.entry, SIGTERM);
--- a/bench/request_policy.c
+++ b/bench/request_policy.c
@@ -31,9 +31,9 @@
 #define WARM_UP_MS 3000.0
 #define START_MS 1000000.0
 #define DEADLINE_MS 1000.0
-#define MAX_TRIES_OPEN 2
-#define BULK_MEAN_MS 1000.0
-#define BULK_DEADLINE_MS 20000.0
+#define MAX_PENDING_TRIES 2
+#define BATCH_MEAN_MS 1000.0
+#define BATCH_DEADLINE_MS 20000.0
 
 enum policy
 {
@@ -52,9 +52,9 @@
 enum fault
 {
   NO_FAULT,
-  ONE_SLOW,    /* 10 times slower than the others */
-  ONE_FAILING, /* answers 500 within a millisecond */
-  TENTH_LOST,  /* every tenth refuses connections after a third of the run */
+  ONE_SLOW,    /* after a third of the run, runner 0 is 10 times slower */
+  ONE_FAILING, /* after a third of the run, runner 0 answers 500 within 1 ms */
+  TENTH_LOST,  /* after a third of the run, every tenth runner refuses connections */
   ALL_FAILING,
   FAULTS
 };
@@ -66,8 +66,8 @@
   double load_to;   /* share of the capacity at the end */
   double length_ms;
   enum fault fault;
-  double bulk_load; /* batch load of one large customer, as a share of the capacity */
-  double step_ms;   /* time of a step to load_to; 0: linear ramp */
+  double batch_load; /* batch load of one large customer, as a share of the capacity */
+  double step_ms;    /* ms from the start to a step to load_to; 0: linear ramp */
 };
 
 enum event_kind
@@ -87,7 +87,7 @@
 {
   struct call *call;
   struct runner *runner; /* in the runner table of the entry */
-  int runner_index;      /* index of the runner */
+  int runner_index;      /* index in sim.runners */
   double started;
   bool abandoned;
   bool failed;
@@ -110,7 +110,7 @@
   unsigned tries;
   unsigned references; /* one per event and attempt, and one until the call ends */
   struct runner *last;
-  struct attempt *open[MAX_TRIES_OPEN];
+  struct attempt *pending[MAX_PENDING_TRIES];
 };
 
 struct event
@@ -151,7 +151,7 @@
   size_t refused;
   uint64_t all_requests;
   uint64_t tries;
-  size_t bulk_answered;
+  size_t batch_answered;
   double measured_ms;
 };
 
@@ -308,20 +308,20 @@
   if (c->serving)
     admission_served (e->admission, &c->item, answered, s->now - c->arrived, now_ms (s));
   limit_leave (e->limit, c->urgent ? "many" : "huge");
-  for (int i = 0; i < MAX_TRIES_OPEN; i++)
-    if (c->open[i])
+  for (int i = 0; i < MAX_PENDING_TRIES; i++)
+    if (c->pending[i])
       {
-        c->open[i]->abandoned = true;
-        router_finish (&e->router, c->open[i]->runner, ROUTER_ABANDONED,
-                       s->now - c->open[i]->started, 0, now_ms (s));
-        c->open[i] = NULL;
+        c->pending[i]->abandoned = true;
+        router_finish (&e->router, c->pending[i]->runner, ROUTER_ABANDONED,
+                       s->now - c->pending[i]->started, 0, now_ms (s));
+        c->pending[i] = NULL;
       }
   if (answered && is_measured (s, c))
     {
       if (c->urgent)
         s->result.latencies[s->result.count++] = s->now - c->arrived;
       else
-        s->result.bulk_answered++;
+        s->result.batch_answered++;
     }
   call_unref (c);
 }
@@ -347,7 +347,7 @@
   c->tries++;
   s->result.tries++;
   router_start (&e->router, runner, 0, now_ms (s));
-  c->open[c->open[0] ? 1 : 0] = a;
+  c->pending[c->pending[0] ? 1 : 0] = a;
   schedule (s, s->now + NETWORK_MS, AT_RUNNER, a);
 }
 
@@ -400,8 +400,8 @@
 {
   struct entry *e = &s->entries[c->entry];
   c->hedged = true;
-  struct runner *r = router_pick (&e->router, "pricing", c->open[0]->runner, now_ms (s));
-  if (r && r != c->open[0]->runner && retry_budget_take (&e->budget))
+  struct runner *r = router_pick (&e->router, "pricing", c->pending[0]->runner, now_ms (s));
+  if (r && r != c->pending[0]->runner && retry_budget_take (&e->budget))
     start_attempt (s, c, r);
 }
 
@@ -426,7 +426,7 @@
 {
   struct entry *e = &s->entries[c->entry];
   struct retry_request q = retry_request_of (c);
-  if (c->ended || c->open[0])
+  if (c->ended || c->pending[0])
     return;
   if (!retry_allowed (&q, cause, now_ms (s)) || !retry_budget_take (&e->budget))
     {
@@ -455,9 +455,9 @@
       dispatch_queued (s, e);
       return;
     }
-  struct attempt *a = c->open[0];
+  struct attempt *a = c->pending[0];
   struct retry_request q = retry_request_of (c);
-  if (!a || c->open[1])
+  if (!a || c->pending[1])
     return;
   if (s->policy == FULL && !c->hedged && retry_hedge_allowed (&q, c->urgent))
     {
@@ -470,7 +470,7 @@
   retry_latency_add_timeout (&e->latency[c->urgent], now_ms (s) - (int64_t)a->started, now_ms (s));
   a->abandoned = true;
   router_finish (&e->router, a->runner, ROUTER_TIMED_OUT, 0.0, 0, now_ms (s));
-  c->open[0] = NULL;
+  c->pending[0] = NULL;
   retry (s, c);
 }
 
@@ -482,13 +482,13 @@
   double latency = s->now - a->started;
   if (!a->abandoned)
     {
-      if (c->open[0] == a)
+      if (c->pending[0] == a)
         {
-          c->open[0] = c->open[1];
-          c->open[1] = NULL;
+          c->pending[0] = c->pending[1];
+          c->pending[1] = NULL;
         }
       else
-        c->open[1] = NULL;
+        c->pending[1] = NULL;
       enum router_outcome o = a->refused_connection ? ROUTER_UNREACHABLE
                               : a->failed           ? ROUTER_FAILED
                                                     : ROUTER_OK;
@@ -549,8 +549,8 @@
   c->arrived = s->now;
   c->urgent = urgent;
   c->entry = (int)rng_below (&s->arrivals, ENTRIES);
-  c->service_ms = rng_exponential (&s->arrivals, urgent ? MEAN_MS : BULK_MEAN_MS);
-  c->deadline = s->now + (urgent ? DEADLINE_MS : BULK_DEADLINE_MS);
+  c->service_ms = rng_exponential (&s->arrivals, urgent ? MEAN_MS : BATCH_MEAN_MS);
+  c->deadline = s->now + (urgent ? DEADLINE_MS : BATCH_DEADLINE_MS);
   return c;
 }
 
@@ -558,15 +558,15 @@
 arrive (struct sim *s)
 {
   double urgent_rate = load_at (s, s->now) * CAPACITY_PER_MS;
-  double bulk_rate = s->scenario.bulk_load * RUNNERS * SLOTS / BULK_MEAN_MS;
+  double batch_rate = s->scenario.batch_load * RUNNERS * SLOTS / BATCH_MEAN_MS;
   if (s->now >= s->end)
     return;
-  bool urgent = rng_unit (&s->arrivals) * (urgent_rate + bulk_rate) < urgent_rate;
+  bool urgent = rng_unit (&s->arrivals) * (urgent_rate + batch_rate) < urgent_rate;
   struct call *c = new_call (s, urgent);
   s->result.all_requests++;
   if (is_measured (s, c) && urgent)
     s->result.requests++;
-  double gap = rng_exponential (&s->arrivals, 1.0 / (urgent_rate + bulk_rate));
+  double gap = rng_exponential (&s->arrivals, 1.0 / (urgent_rate + batch_rate));
   schedule (s, s->now + gap, ARRIVAL, NULL);
   admit (s, c);
 }
@@ -839,8 +839,8 @@
           (double)r->count * 1000.0 / r->measured_ms,
           100.0 * (double)r->refused / (double)r->requests, 100.0 * failed / (double)r->requests,
           (double)r->tries / (double)r->all_requests);
-  if (r->bulk_answered)
-    printf ("  bulk %.0f/s", (double)r->bulk_answered * 1000.0 / r->measured_ms);
+  if (r->batch_answered)
+    printf ("  batch %.0f/s", (double)r->batch_answered * 1000.0 / r->measured_ms);
   printf ("\n");
   free (r->latencies);
 }
@@ -864,7 +864,7 @@
     { "overload 2 times", 2, 2, 12000, NO_FAULT, 0, 0 },
     { "overload 5 times", 5, 5, 8000, NO_FAULT, 0, 0 },
     { "overload 10 times", 10, 10, 6000, NO_FAULT, 0, 0 },
-    { "urgent 30% beside bulk 200%", 0.3, 0.3, 20000, NO_FAULT, 2, 0 },
+    { "urgent 30% beside batch 200%", 0.3, 0.3, 20000, NO_FAULT, 2, 0 },
     { "urgent 30% alone", 0.3, 0.3, 20000, NO_FAULT, 0, 0 },
   };
   printf ("seed %llu, %d entries, %d runners of %d slots, exponential service, mean %.0f ms\n",
@@ -874,7 +874,7 @@
       if (only && !strstr (scenarios[i].name, only))
         continue;
       printf ("%s\n", scenarios[i].name);
-      if (scenarios[i].fault == NO_FAULT && scenarios[i].bulk_load <= 0.0)
+      if (scenarios[i].fault == NO_FAULT && scenarios[i].batch_load <= 0.0)
         {
           struct result ideal = run_ideal (&scenarios[i], seed);
           print ("ideal queue", &ideal);
--- a/bench/scheduler_cost.c
+++ b/bench/scheduler_cost.c
@@ -260,10 +260,10 @@
   scheduler_tick (b->sched, b->now_ms += TICK_MS);
   double cpu_used_s = cpu_s () - t;
   scheduler_stats (b->sched, &after);
-  printf (
-      "  eviction choice: %.0f us per urgent task (%u asked, %llu victims), one tick with all\n",
-      cpu_used_s * 1e6 / urgent_count, urgent_count,
-      (unsigned long long)(after.evictions - before.evictions));
+  printf ("  victim selection: %.0f us per urgent task (%u urgent tasks, %llu victims), all in one "
+          "tick\n",
+          cpu_used_s * 1e6 / urgent_count, urgent_count,
+          (unsigned long long)(after.evictions - before.evictions));
 }
 
 static void
@@ -274,21 +274,21 @@
   uint64_t started = b.started;
   b.poll_s = b.other_s = 0;
   b.polls = 0;
-  double worst = 0;
+  double slowest_tick_s = 0;
   for (int i = 0; i < seconds * 1000 / TICK_MS; i++)
     {
       double before = b.other_s;
       tick (&b, STARTS_PER_TICK);
-      worst = b.other_s - before > worst ? b.other_s - before : worst;
+      slowest_tick_s = b.other_s - before > slowest_tick_s ? b.other_s - before : slowest_tick_s;
     }
   started = b.started - started;
   printf ("%zu workers, %zu tasks: %.0f starts/s\n", workers, tasks, (double)started / seconds);
   printf ("  per start, submission to end, without polls: %.1f us; slowest tick %.1f ms\n",
-          b.other_s * 1e6 / (double)started, worst * 1e3);
+          b.other_s * 1e6 / (double)started, slowest_tick_s * 1e3);
   printf ("  per heartbeat: %.1f us (%.0f polls/s)\n", b.poll_s * 1e6 / (double)b.polls,
           (double)b.polls / seconds);
   printf ("  heap of cell, scheduler and fakes: %.1f MB\n", (double)mallinfo2 ().uordblks / 1e6);
-  printf ("  processor in all: %.1f%% of a core\n", 100 * (b.poll_s + b.other_s) / seconds);
+  printf ("  CPU in total: %.1f%% of a core\n", 100 * (b.poll_s + b.other_s) / seconds);
   measure_evictions (&b);
   scheduler_check (b.sched);
   scheduler_free (b.sched);
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -1,12 +1,12 @@
 /* Compares the scheduler's policy with a simple baseline (first fit, no learning, evict newest, no
    quarantine, submission order) on the same seeds.  Workers are simulated.  The scheduler does not
    see the interference between classes, only samples that are LAG_S seconds old.
-
    Usage: bench_scheduler_policy [SEEDS [SCENARIO]]
 
    Columns: urgent start delay and slowdown at p50/p99/p99.9; batch work kept (core-hours) and its
-   share of the reference run, which has the same urgent tasks but no interference; deadlines met;
-   evictions; work lost; failed jobs; wasted starts.  */
+   share of the reference run, which has the same urgent tasks but no interference; work lost
+   (core-hours); deadlines met and missed; evictions, of these for slowdown; throttles; failed
+   jobs; starts; urgent tasks never started.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -41,7 +41,9 @@
 };
 
 static const char *const scenario_names[]
-    = { "calm", "dawn", "waves", "wrong", "out-back", "failing", "cancels" };
+    = { [STEADY] = "calm",           [MORNING_RAMP] = "dawn",        [INTERFERENCE_WAVES] = "waves",
+        [WRONG_ESTIMATES] = "wrong", [DATA_CENTRE_OUT] = "out-back", [FAILING_WORKERS] = "failing",
+        [CANCEL_BURSTS] = "cancels" };
 
 /* Slowdown of a service per share of the worker's processors that a class uses.  */
 static const double class_interference[SERVICES][CLASSES] = {
@@ -97,8 +99,8 @@
   uint32_t urgent_millicores[4096];
   size_t urgent_first;
   size_t urgent_count;
-  double urgent_requested; /* requested millicores */
-  double batch_due;        /* core-ms of batch work still to submit */
+  double urgent_requested_millicores; /* of all live urgent jobs */
+  double batch_due;                   /* core-ms of batch work still to submit */
   uint64_t burst[2000];
   size_t burst_count;
   struct scheduler_proposal proposals[64];
@@ -175,7 +177,7 @@
   size_t at = (s->urgent_first + s->urgent_count++) % 4096;
   s->urgent_jobs[at] = id;
   s->urgent_millicores[at] = spec.size.millicores * spec.replicas;
-  s->urgent_requested += s->urgent_millicores[at];
+  s->urgent_requested_millicores += s->urgent_millicores[at];
 }
 
 static void
@@ -191,7 +193,7 @@
 cancel_urgent (struct sim *s)
 {
   cancel (s, &s->urgent_jobs[s->urgent_first], 1);
-  s->urgent_requested -= s->urgent_millicores[s->urgent_first];
+  s->urgent_requested_millicores -= s->urgent_millicores[s->urgent_first];
   s->urgent_first = (s->urgent_first + 1) % 4096;
   s->urgent_count--;
 }
@@ -279,13 +281,13 @@
 submit_load (struct sim *s)
 {
   double target = urgent_target (s) * processors (s);
-  if (s->urgent_requested + 4000 < target && rng_chance (&s->rng, 0.2))
+  if (s->urgent_requested_millicores + 4000 < target && rng_chance (&s->rng, 0.2))
     submit_urgent (s);
-  else if (s->urgent_requested > target + 4000 && s->urgent_count > 0)
+  else if (s->urgent_requested_millicores > target + 4000 && s->urgent_count > 0)
     cancel_urgent (s);
   else if (s->urgent_count > 0 && rng_chance (&s->rng, 0.002))
-    cancel_urgent (s); /* services are replaced, as by deployments */
-  /* Batch work exceeds the remaining capacity by a tenth, so that the queue never runs empty.  */
+    cancel_urgent (s); /* models deployments, which replace services */
+  /* Fills the rest of the processors and a tenth of all, so that the queue never runs empty.  */
   s->batch_due += (1.1 - urgent_target (s)) * processors (s) / 1000 * STEP_MS;
   while (s->batch_due > 0)
     submit_batch (s);
@@ -572,17 +574,18 @@
 print (const char *policy, struct result *r, double reference)
 {
   qsort (r->delays, r->delay_count, sizeof *r->delays, compare);
-  printf ("  %-9s start ms %5.0f %5.0f %6.0f  slowdown %.3f %.3f %.3f  kept %7.1f core-h (%5.1f%%)"
-          "  lost %6.2f  deadlines %llu met %llu missed  evictions %llu (%llu moves) throttles "
-          "%llu  failed %llu  starts %llu"
-          "  unstarted %llu\n",
-          policy, delay_at (r, 0.5), delay_at (r, 0.99), delay_at (r, 0.999), slowdown_at (r, 0.5),
-          slowdown_at (r, 0.99), slowdown_at (r, 0.999), r->kept_core_h,
-          reference > 0 ? 100 * r->kept_core_h / reference : 100.0, r->lost_core_h,
-          (unsigned long long)r->met, (unsigned long long)r->missed,
-          (unsigned long long)r->evictions, (unsigned long long)r->slowdown_evictions,
-          (unsigned long long)r->throttles, (unsigned long long)r->failed_jobs,
-          (unsigned long long)r->starts, (unsigned long long)r->urgent_unstarted);
+  printf (
+      "  %-9s start ms %5.0f %5.0f %6.0f  slowdown %.3f %.3f %.3f  kept %7.1f core-h (%5.1f%%)"
+      "  lost %6.2f  deadlines %llu met %llu missed  evictions %llu (%llu for slowdown) throttles "
+      "%llu  failed %llu  starts %llu"
+      "  unstarted %llu\n",
+      policy, delay_at (r, 0.5), delay_at (r, 0.99), delay_at (r, 0.999), slowdown_at (r, 0.5),
+      slowdown_at (r, 0.99), slowdown_at (r, 0.999), r->kept_core_h,
+      reference > 0 ? 100 * r->kept_core_h / reference : 100.0, r->lost_core_h,
+      (unsigned long long)r->met, (unsigned long long)r->missed, (unsigned long long)r->evictions,
+      (unsigned long long)r->slowdown_evictions, (unsigned long long)r->throttles,
+      (unsigned long long)r->failed_jobs, (unsigned long long)r->starts,
+      (unsigned long long)r->urgent_unstarted);
 }
 
 static void
--- a/demo/check-events.awk
+++ b/demo/check-events.awk
@@ -1,5 +1,5 @@
 # Checks worker events, one per line: "unix_ms event task epoch worker".
-# Variables: out (the command took data centre c out of service) and back (its return was requested).
+# Variables, in Unix ms: out (data centre c taken out of service), back (its return requested).
 {
   time = $1; event = $2; task = $3; worker = $5
   if (event == "start")
@@ -25,6 +25,6 @@
     }
 }
 END {
-  printf "task starts:                           %d, in two places at once: %d\n", starts, concurrent_starts
+  printf "task starts:                           %d, on two workers at once: %d\n", starts, concurrent_starts
   printf "starts in data centre c while out:     %d\n", starts_while_out
 }
--- a/examples/single_group.c
+++ b/examples/single_group.c
@@ -1,5 +1,5 @@
-/* Runs a replicated registry with a single voter in this process and its journal in FOLDER, takes a
-   data centre out of service and prints the log index.  Usage: example_single_group FOLDER  */
+/* Runs a replicated registry with a single voter in this process, its journal in FOLDER, takes a
+   data centre out and prints the answer with its log index.  Usage: example_single_group FOLDER  */
 #include <stdio.h>
 
 #include "sassafras.h"
@@ -30,7 +30,7 @@
   struct journal_io *io = argc == 2 ? journal_folder_io (argv[1], &st) : NULL;
   if (!io)
     {
-      fprintf (stderr, "usage: single_group FOLDER\n");
+      fprintf (stderr, "usage: example_single_group FOLDER\n");
       return 2;
     }
   rng_init (&rng, 1);
--- a/scripts/cluster.sh
+++ b/scripts/cluster.sh
@@ -33,24 +33,24 @@
   trap cluster_stop EXIT
 }
 
-# Data centres a and b share region one; all others are in region two.  The registry's voters are
-# two VMs of each of the first two data centres and one of the third.
+# Region one: data centres a and b; region two: others.  Registry voters: all VMs of a single data
+# centre; otherwise, of at most three, two VMs with disks of the first and second, one of a third.
 cluster_members ()
 {
-  local dc_index=0 node=0 spec name disks plain region vm i registry cells voters first=""
+  local dc_index=0 node=0 spec name with_disk diskless region vm i registry cells voters first=""
   for spec in $1; do
     dc_index=$((dc_index + 1))
     name=${spec%%:*}
-    disks=${spec#*:}
-    plain=0
-    case $disks in *+*) plain=${disks#*+}; disks=${disks%+*} ;; esac
+    with_disk=${spec#*:}
+    diskless=0
+    case $with_disk in *+*) diskless=${with_disk#*+}; with_disk=${with_disk%+*} ;; esac
     DCS+=("$name")
-    for ((i = 1; i <= disks + plain; i++)); do
+    for ((i = 1; i <= with_disk + diskless; i++)); do
       vm=$name$i
       VMS+=("$vm")
       VM_ADDRESS[$vm]=127.$NET.$dc_index.$i
       VM_DC[$vm]=$name
-      VM_DISK[$vm]=$((i <= disks))
+      VM_DISK[$vm]=$((i <= with_disk))
     done
   done
   {
@@ -272,7 +272,7 @@
   grep -q "\"state\": *\"$2\"" <<<"${text%%\"tasks\"*}"
 }
 
-starts ()
+count_task_starts ()
 {
   grep -c " start " "$WORK/events" 2>/dev/null || true
 }
