--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -195,7 +195,7 @@
   buffer_init (&entry);
   workflow_encode (c, &entry);
   if (!apply (s, &entry))
-    fprintf (stderr, "workflow command refused\n");
+    fprintf (stderr, "command not accepted\n");
   buffer_close (&entry);
 }
 
--- a/examples/single_group.c
+++ b/examples/single_group.c
@@ -30,7 +30,7 @@
   struct journal_io *io = argc == 2 ? journal_folder_io (argv[1], &st) : NULL;
   if (!io)
     {
-      fprintf (stderr, "usage: example_single_group FOLDER\n");
+      fprintf (stderr, "usage: single_group FOLDER\n");
       return 2;
     }
   rng_init (&rng, 1);
