--- a/examples/single_group.c
+++ b/examples/single_group.c
@@ -1,5 +1,5 @@
-/* Runs a replicated registry with a single voter in this process and its journal in FOLDER, takes a
-   data centre out of service and prints the log index.  Usage: example_single_group FOLDER  */
+/* Runs a replicated registry with a single voter in this process, its journal in FOLDER, takes a
+   data centre out and prints the answer with its log index.  Usage: example_single_group FOLDER  */
 #include <stdio.h>
 
 #include "sassafras.h"
