--- a/bench/dispatcher_cost.c
+++ b/bench/dispatcher_cost.c
@@ -484,7 +484,7 @@
   simulate (&s, rate, WARM_UP_MS + seconds * 1000, &used_s);
   TAILQ_FOREACH (t, &s.workflow.ready, link)
   waiting++;
-  printf ("%d workers, %.1f fill-in jobs/s, %d s: %.1f ms CPU per second, %.0f starts/s, "
+  printf ("%d workers, %.1f fill-in jobs/s, %d s: %.1f ms processor time a second, %.0f starts/s, "
           "%u tasks waiting at the end\n",
           workers, rate, (int)seconds, used_s * 1000 / (double)seconds,
           (double)(s.starts - before) / (double)seconds, waiting);
--- a/bench/peer_net_cost.c
+++ b/bench/peer_net_cost.c
@@ -219,9 +219,8 @@
   ev_timer_init (&timer, on_idle_end, IDLE_S, 0.0);
   ev_timer_start (loop, &timer);
   ev_run (loop, 0);
-  printf ("idle, %d peers: %.0f bytes/s sent by the hub, %.3f%% of a core for %d endpoints\n",
-          peers, (double)(sent_bytes () - bytes) / IDLE_S, (cpu_s () - cpu) / IDLE_S * 100.0,
-          peers + 1);
+  printf ("idle, %d peers: %.0f bytes/s sent by one end, %.3f%% of a core for %d ends\n", peers,
+          (double)(sent_bytes () - bytes) / IDLE_S, (cpu_s () - cpu) / IDLE_S * 100.0, peers + 1);
 }
 
 int
--- a/bench/request_loopback.c
+++ b/bench/request_loopback.c
@@ -169,7 +169,7 @@
 print_result (struct bench *b, double seconds, double used_cpu_s)
 {
   qsort (b->latencies, (size_t)b->total, sizeof *b->latencies, compare_us);
-  printf ("%ld requests on %d connections: %.0f/s, %.0f per CPU second of the entry, "
+  printf ("%ld requests on %d connections: %.0f/s, %.0f per processor second of the entry, "
           "%.1f us each, p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms, not 200: %ld\n",
           b->total, b->connections, (double)b->total / seconds, (double)b->total / used_cpu_s,
           used_cpu_s * 1e6 / (double)b->total, quantile_ms (b, 0.5), quantile_ms (b, 0.99),
--- a/bench/request_policy.c
+++ b/bench/request_policy.c
@@ -840,7 +840,7 @@
           100.0 * (double)r->refused / (double)r->requests, 100.0 * failed / (double)r->requests,
           (double)r->tries / (double)r->all_requests);
   if (r->batch_answered)
-    printf ("  batch %.0f/s", (double)r->batch_answered * 1000.0 / r->measured_ms);
+    printf ("  bulk %.0f/s", (double)r->batch_answered * 1000.0 / r->measured_ms);
   printf ("\n");
   free (r->latencies);
 }
@@ -864,7 +864,7 @@
     { "overload 2 times", 2, 2, 12000, NO_FAULT, 0, 0 },
     { "overload 5 times", 5, 5, 8000, NO_FAULT, 0, 0 },
     { "overload 10 times", 10, 10, 6000, NO_FAULT, 0, 0 },
-    { "urgent 30% beside batch 200%", 0.3, 0.3, 20000, NO_FAULT, 2, 0 },
+    { "urgent 30% beside bulk 200%", 0.3, 0.3, 20000, NO_FAULT, 2, 0 },
     { "urgent 30% alone", 0.3, 0.3, 20000, NO_FAULT, 0, 0 },
   };
   printf ("seed %llu, %d entries, %d runners of %d slots, exponential service, mean %.0f ms\n",
--- a/bench/scheduler_cost.c
+++ b/bench/scheduler_cost.c
@@ -260,8 +260,8 @@
   scheduler_tick (b->sched, b->now_ms += TICK_MS);
   double cpu_used_s = cpu_s () - t;
   scheduler_stats (b->sched, &after);
-  printf ("  victim selection: %.0f us per urgent task (%u urgent tasks, %llu victims), all in one "
-          "tick\n",
+  printf ("  eviction choice: %.0f us per urgent task (%u asked, %llu victims), one tick with "
+          "all\n",
           cpu_used_s * 1e6 / urgent_count, urgent_count,
           (unsigned long long)(after.evictions - before.evictions));
 }
@@ -288,7 +288,7 @@
   printf ("  per heartbeat: %.1f us (%.0f polls/s)\n", b.poll_s * 1e6 / (double)b.polls,
           (double)b.polls / seconds);
   printf ("  heap of cell, scheduler and fakes: %.1f MB\n", (double)mallinfo2 ().uordblks / 1e6);
-  printf ("  CPU in total: %.1f%% of a core\n", 100 * (b.poll_s + b.other_s) / seconds);
+  printf ("  processor in all: %.1f%% of a core\n", 100 * (b.poll_s + b.other_s) / seconds);
   measure_evictions (&b);
   scheduler_check (b.sched);
   scheduler_free (b.sched);
--- a/bench/scheduler_policy.c
+++ b/bench/scheduler_policy.c
@@ -5,8 +5,8 @@
 
    Columns: urgent start delay and slowdown at p50/p99/p99.9; batch work kept (core-hours) and its
    share of the reference run, which has the same urgent tasks but no interference; work lost
-   (core-hours); deadlines met and missed; evictions, of these for slowdown; throttles; failed
-   jobs; starts; urgent tasks never started.  */
+   (core-hours); deadlines met and missed; evictions, of these for slowdown (moves); throttles;
+   failed jobs; starts; urgent tasks never started.  */
 
 #include <math.h>
 #include <stdio.h>
@@ -574,18 +574,17 @@
 print (const char *policy, struct result *r, double reference)
 {
   qsort (r->delays, r->delay_count, sizeof *r->delays, compare);
-  printf (
-      "  %-9s start ms %5.0f %5.0f %6.0f  slowdown %.3f %.3f %.3f  kept %7.1f core-h (%5.1f%%)"
-      "  lost %6.2f  deadlines %llu met %llu missed  evictions %llu (%llu for slowdown) throttles "
-      "%llu  failed %llu  starts %llu"
-      "  unstarted %llu\n",
-      policy, delay_at (r, 0.5), delay_at (r, 0.99), delay_at (r, 0.999), slowdown_at (r, 0.5),
-      slowdown_at (r, 0.99), slowdown_at (r, 0.999), r->kept_core_h,
-      reference > 0 ? 100 * r->kept_core_h / reference : 100.0, r->lost_core_h,
-      (unsigned long long)r->met, (unsigned long long)r->missed, (unsigned long long)r->evictions,
-      (unsigned long long)r->slowdown_evictions, (unsigned long long)r->throttles,
-      (unsigned long long)r->failed_jobs, (unsigned long long)r->starts,
-      (unsigned long long)r->urgent_unstarted);
+  printf ("  %-9s start ms %5.0f %5.0f %6.0f  slowdown %.3f %.3f %.3f  kept %7.1f core-h (%5.1f%%)"
+          "  lost %6.2f  deadlines %llu met %llu missed  evictions %llu (%llu moves) throttles "
+          "%llu  failed %llu  starts %llu"
+          "  unstarted %llu\n",
+          policy, delay_at (r, 0.5), delay_at (r, 0.99), delay_at (r, 0.999), slowdown_at (r, 0.5),
+          slowdown_at (r, 0.99), slowdown_at (r, 0.999), r->kept_core_h,
+          reference > 0 ? 100 * r->kept_core_h / reference : 100.0, r->lost_core_h,
+          (unsigned long long)r->met, (unsigned long long)r->missed,
+          (unsigned long long)r->evictions, (unsigned long long)r->slowdown_evictions,
+          (unsigned long long)r->throttles, (unsigned long long)r->failed_jobs,
+          (unsigned long long)r->starts, (unsigned long long)r->urgent_unstarted);
 }
 
 static void
--- a/demo/check-events.awk
+++ b/demo/check-events.awk
@@ -25,6 +25,6 @@
     }
 }
 END {
-  printf "task starts:                           %d, on two workers at once: %d\n", starts, concurrent_starts
+  printf "task starts:                           %d, in two places at once: %d\n", starts, concurrent_starts
   printf "starts in data centre c while out:     %d\n", starts_while_out
 }
