--- a/tests/path_cut_off.sh
+++ b/tests/path_cut_off.sh
@@ -44,7 +44,7 @@
 wait_for 5 job_in_state "$job" running || fail "job $job does not run"
 pause a1 a2 b1 b2
 sleep 4
-[ "$(c_starts)" = 1 ] || fail "unexpected number of starts before the partition"
+[ "$(c_starts)" = 1 ] || fail "expected 1 task start 4 s into the partition, got $(c_starts)"
 curl -s -m 8 -X POST -d '{"request_id":"cut","customer":"schools","kind":"batch","class":"k","millicores":100,"memory_mb":10,"run_time_ms":100,"data_centre":"c"}' \
   "http://${VM_ADDRESS[c1]}:7402/v1/jobs" >/dev/null || true
 for n in 1 2 3 4 5; do
@@ -56,8 +56,8 @@
 resume a1 a2 b1 b2
 wait_for 20 job_in_state "$job" "done" || fail "the task that ran during the partition was not recorded as done"
 
-# 2. Data centre c is taken out while its VMs are paused: the command is in force within 3 s, and
-#    no task starts there when they resume.
+# 2. Data centre c is taken out while its VMs are paused: the command is in force within 3 s (the
+#    check allows 6 s), and no task starts there when they resume.
 pause c1 c2
 from=$(date +%s%3N)
 CTL_SERVERS="${VM_ADDRESS[a1]}:7402,${VM_ADDRESS[b1]}:7402"
@@ -72,7 +72,7 @@
 [ "$took" -lt 6000 ] || fail "taking data centre c out took $took ms"
 wait_for 20 job_in_state "$(cat "$WORK/moved")" "done" || fail "the job was not completed in another data centre"
 
-# 3. Two operators return the data centre; tasks start there again.
+# 3. Two operators return c while it is out; the second may be refused. Tasks start there again.
 ctl data-centre return c >/dev/null || fail "returning data centre c failed"
 ctl data-centre return c >/dev/null || true
 job=$(submit_job schools 1 100 '"data_centre":"c"')
--- a/tests/path_disks.sh
+++ b/tests/path_disks.sh
@@ -44,7 +44,7 @@
 wait_for 10 repaired 4 || fail "b2 was not repaired: $(vm_state "$(leader_of registry)")"
 echo "repaired"
 
-# A second VM loses its disk right after the repair; the other three continue.
+# The registry leader is killed and loses its disk right after the repair; the other four VMs continue.
 victim=$(leader_of registry)
 cluster_kill "$victim" KILL
 rm -rf "${WORK:?}/$victim"
--- a/tests/path_early_signals.sh
+++ b/tests/path_early_signals.sh
@@ -29,4 +29,4 @@
 [ $code = 0 ] || fail "exit code $code after a planned stop"
 grep -q event=reload "$folder/log" || fail "the reload was lost"
 grep -q event=stopping "$folder/log" || fail "the stop was lost"
-echo "reload and stop during the start were carried out after it"
+echo "reload and stop sent during startup were executed after startup"
--- a/tests/path_operators.sh
+++ b/tests/path_operators.sh
@@ -100,7 +100,7 @@
 codes=$(sort -n "$dir/code-1" "$dir/code-2" | paste -sd' ')
 [ "$codes" = "0 6" ] || fail "two edits of one version ended with $codes"
 
-# The answer to out has both times; a return after it is accepted at once.
+# The answer to out has accepted_at_ms and in_force_at_ms; a return after it is accepted at once.
 expect 0 data-centre out a --json
 accepted=$(sed -n 's/.*"accepted_at_ms": \([0-9]*\).*/\1/p' "$dir/out")
 in_force=$(sed -n 's/.*"in_force_at_ms": \([0-9]*\).*/\1/p' "$dir/out")
--- a/tests/path_platform.sh
+++ b/tests/path_platform.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # End-to-end test of the platform adapter with real processes on loopback: a configuration, jobs with two
 # steps through a front, the leader killed, all jobs completed, no task started while it runs or after
-# its end, the configuration read back. Guards against faults between parts that work by themselves.
+# its end, the configuration read back. Guards against faults between components that pass their own tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=$1
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -30,8 +30,8 @@
   CORE_PAUSE,
   CORE_DISK,
   CORE_LINK,
-  CORE_LINK_REPEAT, /* twice as likely as the others */
-  LAST_CORE_FAULT = CORE_LINK_REPEAT,
+  CORE_LINK_2, /* same fault as CORE_LINK, which is thus twice as likely as the others */
+  LAST_CORE_FAULT = CORE_LINK_2,
   FRONT_END,
   FRONT_PAUSE,
   RELOAD,
@@ -115,7 +115,7 @@
         kill (core->pid, SIGHUP);
       break;
     case CORE_LINK:
-    case CORE_LINK_REPEAT:
+    case CORE_LINK_2:
       inject_core_link_fault (s, core);
       break;
     case WORKER_LINK:
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -67,7 +67,7 @@
   bool paused;
   bool ending;      /* the test has sent a terminating signal */
   bool disk_lost;   /* remove its data before the next start */
-  bool first_start; /* its disk has data, or the whole system starts */
+  bool first_start; /* core: value of --first-start; false once its disk was lost */
   int64_t up_at_ms; /* time of the next start; 0: it is up */
   int64_t resume_at_ms;
   ev_child exited;
--- a/tests/soak/soak_proxy.c
+++ b/tests/soak/soak_proxy.c
@@ -175,30 +175,30 @@
 on_accept (struct ev_loop *loop, ev_io *w, int events)
 {
   struct proxy_link *l = w->data;
-  int caller = accept4 (l->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  int callee = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  int client_fd = accept4 (l->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
+  int target_fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   (void)loop;
   (void)events;
   /* A blocking connect is safe: on loopback it succeeds or fails at once.  */
-  bool open = caller >= 0 && l->mode != LINK_RESET
-              && connect (callee, (struct sockaddr *)&l->target, sizeof l->target) == 0;
+  bool open = client_fd >= 0 && l->mode != LINK_RESET
+              && connect (target_fd, (struct sockaddr *)&l->target, sizeof l->target) == 0;
   if (!open)
     {
       const struct linger reset_on_close = { .l_onoff = 1 };
-      if (caller >= 0)
+      if (client_fd >= 0)
         {
-          setsockopt (caller, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
-          close (caller);
+          setsockopt (client_fd, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
+          close (client_fd);
         }
-      close (callee);
+      close (target_fd);
       return;
     }
-  fcntl (callee, F_SETFL, O_NONBLOCK);
+  fcntl (target_fd, F_SETFL, O_NONBLOCK);
   struct proxy_conn *c = calloc (1, sizeof *c);
   c->owner = l;
   LIST_INSERT_HEAD (&l->conns, c, link);
-  init_stream (&c->streams[0], c, caller, callee, true);
-  init_stream (&c->streams[1], c, callee, caller, false);
+  init_stream (&c->streams[0], c, client_fd, target_fd, true);
+  init_stream (&c->streams[1], c, target_fd, client_fd, false);
 }
 
 struct proxy_link *
--- a/tests/soak/soak_worker.c
+++ b/tests/soak/soak_worker.c
@@ -1,4 +1,4 @@
-/* A simulated worker: executes orders, announces itself, keeps a lease and lists its ended runs. */
+/* A simulated worker: executes orders, sends reports, keeps a lease and lists its ended runs. */
 #include <stdlib.h>
 #include <string.h>
 
@@ -31,11 +31,11 @@
 };
 
 /* The highest run of a task that was stopped or has ended here; it and lower runs are refused.  */
-struct task_history
+struct refused_runs
 {
-  LIST_ENTRY (task_history) link;
+  LIST_ENTRY (refused_runs) link;
   char task[NAME_BYTES];
-  int run;
+  int max_run;
 };
 
 /* A long poll (hold) that waits for a run to end, or an order whose execution is delayed.  */
@@ -61,30 +61,30 @@
   unsigned reports_pending;
   LIST_HEAD (, run) runs;
   STAILQ_HEAD (, ended) ended;
-  LIST_HEAD (, task_history) histories;
+  LIST_HEAD (, refused_runs) refused;
   LIST_HEAD (, pending_request) holds;
   LIST_HEAD (, pending_request) delayed;
 };
 
-static struct task_history *
-find_history (struct soak_worker *w, const char *task)
+static struct refused_runs *
+find_or_add_refused_runs (struct soak_worker *w, const char *task)
 {
-  struct task_history *o;
-  LIST_FOREACH (o, &w->histories, link)
+  struct refused_runs *o;
+  LIST_FOREACH (o, &w->refused, link)
   if (strcmp (o->task, task) == 0)
     return o;
   o = xcalloc (1, sizeof *o);
   snprintf (o->task, sizeof o->task, "%s", task);
-  LIST_INSERT_HEAD (&w->histories, o, link);
+  LIST_INSERT_HEAD (&w->refused, o, link);
   return o;
 }
 
 static void
-record_ended_run (struct soak_worker *w, const char *task, int run)
+refuse_runs_up_to (struct soak_worker *w, const char *task, int run)
 {
-  struct task_history *o = find_history (w, task);
-  if (run > o->run)
-    o->run = run;
+  struct refused_runs *o = find_or_add_refused_runs (w, task);
+  if (run > o->max_run)
+    o->max_run = run;
 }
 
 static void
@@ -96,7 +96,7 @@
   e->run = r->run;
   e->outcome = outcome;
   STAILQ_INSERT_TAIL (&w->ended, e, link);
-  record_ended_run (w, r->task, r->run);
+  refuse_runs_up_to (w, r->task, r->run);
   task_ended (w->soak, r->task, strcmp (outcome, "done") == 0);
   LIST_REMOVE (r, link);
   free (r);
@@ -148,7 +148,7 @@
   int run = (int)integer_field (body, "run");
   if (integer_field (body, "deadline_ms") < w->soak->now_ms)
     return "late";
-  if (run <= find_history (w, task)->run || (r && r->run != run))
+  if (run <= find_or_add_refused_runs (w, task)->max_run || (r && r->run != run))
     return "old";
   return NULL;
 }
@@ -184,7 +184,7 @@
 {
   const char *task = json_string_value (json_object_get (body, "task"));
   struct run *r = find_run (w, task);
-  record_ended_run (w, task, (int)integer_field (body, "run"));
+  refuse_runs_up_to (w, task, (int)integer_field (body, "run"));
   if (r && r->run <= integer_field (body, "run"))
     end_run (w, r, "stopped");
   reply_clock (w, req, 200, "");
@@ -343,7 +343,7 @@
 {
   struct run *r;
   struct ended *e;
-  struct task_history *o;
+  struct refused_runs *o;
   free_pending_requests (LIST_FIRST (&w->holds));
   free_pending_requests (LIST_FIRST (&w->delayed));
   LIST_INIT (&w->holds);
@@ -361,7 +361,7 @@
       STAILQ_REMOVE_HEAD (&w->ended, link);
       free (e);
     }
-  while ((o = LIST_FIRST (&w->histories)) != NULL)
+  while ((o = LIST_FIRST (&w->refused)) != NULL)
     {
       LIST_REMOVE (o, link);
       free (o);
@@ -410,7 +410,7 @@
     start_incarnation (w);
 }
 
-/* By the platform's rules an end is void if the lease expires before its acknowledgement.  */
+/* By the platform's rules an end is invalid if the lease expires before its acknowledgement.  */
 static void
 invalidate_ends (struct soak_worker *w)
 {
