--- a/spec/check_permits.sh
+++ b/spec/check_permits.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Guards against starts in a data centre that is out: delayed grants and commands, old leaders.
+# Guards against starts in a data centre that is out: delayed grants and start commands, deposed leaders.
 # Usage: spec/check_permits.sh WORK-DIR
 set -euo pipefail
 source "$(dirname "$0")/check_model.bash"
--- a/spec/permits.pml
+++ b/spec/permits.pml
@@ -27,9 +27,9 @@
 granter g[2];
 byte leader;    /* the actual leader */
 byte inherited; /* ticks until permits of earlier leaders have expired */
-byte granted;   /* ticks until the permits it granted to the holder have expired */
+byte granted;   /* ticks until the permits `leader` granted to the holder have expired */
 bool out;       /* committed state of the data centre */
-byte out_age;   /* ticks since it was accepted, at most LIFE + 1 */
+byte out_age;   /* ticks since the last out or return was accepted, at most LIFE + 1 */
 bool in_force;  /* the out command was reported as in force */
 bool reported;  /* the holder's report that it has stopped has been committed */
 byte left;      /* remaining ticks of the held permit */
@@ -162,8 +162,8 @@
 #define ALL_EXPIRED (inherited == 0 && (granted == 0 || reported))
 #endif
 
-/* validity = (now - time the poll was handled) + remaining permit, counted from when the poll was
-   sent; what remains of it now is the remaining permit minus the transit time of the poll.  */
+/* Counted from the sending of the poll, the command is valid for the remaining permit plus the time
+   since the poll was handled.  Now there remains: permit minus transit time (poll - HANDLED).  */
 inline send_start ()
 {
   start = 1 + (left > poll - HANDLED -> left - (poll - HANDLED) : 0);
--- a/spec/tasks.pml
+++ b/spec/tasks.pml
@@ -4,7 +4,7 @@
    lost with its worker, handed to B, or taken over by B's standby copy after the registry closed A's
    cell epoch.  A's leader changes at any time; A may be isolated for any time.  Messages between
    cells and to and from A's workers are delayed, duplicated or lost.  Both logs are reliable
-   (raft.pml).  Times are remaining ticks; a tick may occur at any point, so runs are unbounded.
+   (raft.pml).  Times are remaining ticks; ticks occur at any point, so executions are unbounded.
 
    Rules checked: the task runs in at most one place; only one cell may resume it; it is not lost.
    Not modelled: worker crashes, hand-back from B, tasks without a standby copy.  */
@@ -42,9 +42,9 @@
 byte a = PENDING;
 byte a_epoch = 1;
 byte a_worker;
-byte silence;  /* ticks until A's leader considers that worker lost */
+byte silence;  /* ticks until A's leader considers a_worker lost */
 bool a_closed; /* A has applied the closing of its cell epoch */
-bool stop_closed; /* the task is being stopped for that reason */
+bool stop_closed; /* the task is being stopped because A's cell epoch was closed */
 byte contact;  /* remaining permit of A plus GRACE; the permit is valid while above GRACE */
 bool closed;   /* the registry has closed A's cell epoch */
 byte wait;     /* ticks until every lease under the closed epoch has expired */
@@ -72,7 +72,7 @@
   w[i].lease = 0
 }
 
-/* A start command is valid for the remaining permit, one tick.  */
+/* A start command expires with the permit, which lasts one tick (PERMIT): each tick drops it.  */
 inline tick_worker (i)
 {
   DOWN (w[i].lease);
